--- a/include/gooseberrysail/gateway/dispatcher.hpp
+++ b/include/gooseberrysail/gateway/dispatcher.hpp
@@ -18,40 +18,40 @@
 
 namespace gooseberrysail {
 
-/// \brief What the gateway knows besides the request, with its versions for the log.
-struct ServingKnowledge
+/// \brief The serving data that a routing decision uses, with the versions for the log.
+struct ServingSnapshot
 {
-  std::shared_ptr<const RouteIndex> index; ///< Null while no document is known.
+  std::shared_ptr<const RouteIndex> index; ///< Null until a document has arrived.
   std::uint64_t targetsSequence = 0;
-  TimePoint heardAt{}; ///< When control last confirmed it.
+  TimePoint confirmedAt{}; ///< When the leading control process last sent its state.
 };
 
-/// \brief What callers asked of one model since start, as told to control.
+/// \brief Total demand for one model since the process started, as reported to control.
 struct DemandRow
 {
   std::string service;
   std::string model;
   std::uint64_t requests = 0;
   std::uint64_t promptTokens = 0;
-  std::uint64_t outputTokens = 0; ///< As callers expect them.
+  std::uint64_t outputTokens = 0; ///< Expected by callers, or estimated.
 };
 
-/// \brief Carries callers' requests to targets and the answers back.
-/// \remarks A request that no target can take waits for the next free place where it will still be
-/// in time then, and is refused at once otherwise.
+/// \brief Forwards callers' requests to targets and the answers back to the callers.
+/// \remarks When all targets are full, a request that has not been sent yet is queued if a slot is
+/// expected to come free within its objective. Otherwise it is refused at once.
 class Dispatcher
 {
 public:
   Dispatcher(GatewayApi api,
              RetrySettings retries,
-             FailureDomainId own,
+             FailureDomainId ownDomain,
              std::function<std::uint64_t()> random);
 
   void OnRequest(TimePoint now,
                  HttpRequestIn request,
-                 const ServingKnowledge& knowledge,
+                 const ServingSnapshot& snapshot,
                  std::vector<GatewayOutput>& outbox);
-  /// \brief Answers a request at once that is not even looked at: it certainly does not run.
+  /// \brief Refuses a request with status 503 without routing it, so it is certain not to have run.
   void Refuse(TimePoint now,
               const HttpRequestIn& incoming,
               const std::string& reason,
@@ -61,23 +61,23 @@
   void OnFailed(TimePoint now, const TargetFailedIn& failed, std::vector<GatewayOutput>& outbox);
   void OnCallerGone(TimePoint now, ExchangeId exchange, std::vector<GatewayOutput>& outbox);
 
-  /// \brief Ends requests whose time is over and leaves heads that stand still.
+  /// \brief Ends requests that reached their deadline and moves work away from stalled heads.
   void Tick(TimePoint now, std::vector<GatewayOutput>& outbox);
 
-  /// \brief Takes over the whole list of targets. Work of a former life of one that started again
-  /// is over, and goes elsewhere where that is allowed.
+  /// \brief Replaces the list of targets. Requests that were in flight at a target that has
+  /// restarted are retried elsewhere where the retry rules allow it.
   void OnTargets(TimePoint now,
                  std::span<const ServedTarget> targets,
                  std::vector<GatewayOutput>& outbox);
 
-  /// \brief As OnTargets, of those that changed and those that are listed no more.
+  /// \brief Like OnTargets, with only the changed and the removed targets.
   void OnTargetChanges(TimePoint now,
                        std::span<const ServedTarget> changed,
                        std::span<const InstanceId> gone,
                        std::vector<GatewayOutput>& outbox);
 
-  [[nodiscard]] TargetBoard& Board() noexcept { return m_board; }
-  [[nodiscard]] const TargetBoard& Board() const noexcept { return m_board; }
+  [[nodiscard]] TargetSelector& Selector() noexcept { return m_selector; }
+  [[nodiscard]] const TargetSelector& Selector() const noexcept { return m_selector; }
   [[nodiscard]] RetryAllowance& Retries() noexcept { return m_retries; }
   [[nodiscard]] std::size_t InFlight() const noexcept { return m_requests.size(); }
   [[nodiscard]] std::vector<DemandRow> Demand() const;
@@ -92,21 +92,21 @@
     std::string model;     ///< "" where the service has no engines.
     std::string workspace; ///< "" for a public route without a key.
     std::uint64_t targetsSequence = 0;
-    Duration knowledgeAge{};
+    Duration snapshotAge{};
     TimePoint arrived{};
     TimePoint deadline{};
-    TimePoint sentAt{};  ///< The latest attempt.
-    TimePoint firstAt{}; ///< The first event went to the caller.
-    ExchangeId attempt;  ///< Under way; none between attempts.
-    TargetLife target;   ///< Of the latest attempt.
+    TimePoint sentAt{};       ///< The latest attempt.
+    TimePoint firstEventAt{}; ///< The first event went to the caller.
+    ExchangeId attempt;       ///< The one in flight; none between attempts.
+    TargetLife target;        ///< Of the latest attempt.
     std::set<InstanceId> tried;
     std::uint32_t attempts = 0;
-    bool mayHaveRun = false; ///< Some attempt was not certainly refused.
-    bool headPassed = false; ///< The caller has the answer's head.
-    bool streams = false;    ///< The present attempt's answer is passed on event by event.
-    HttpAnswerOut whole;     ///< Collects an answer that is passed on in one piece.
+    bool mayHaveRun = false;      ///< At least one attempt may have been executed.
+    bool headForwarded = false;   ///< The head of the answer went to the caller.
+    bool streams = false;         ///< The current answer is forwarded event by event.
+    HttpAnswerOut bufferedAnswer; ///< Status and headers, and the body unless it streams.
     EventSplitter events;
-    std::string lastTrouble;
+    std::string lastError;
   };
 
   using Outbox = std::vector<GatewayOutput>;
@@ -119,33 +119,33 @@
     std::optional<Duration> retryAfter;
   };
   [[nodiscard]] std::optional<Refusal> Admit(TimePoint now,
-                                             const ServingKnowledge& knowledge,
+                                             const ServingSnapshot& snapshot,
                                              Request& request);
-  void PickService(Request& request);
+  void SelectService(Request& request);
   [[nodiscard]] static std::uint64_t ExpectedOutput(const Request& request);
-  void NoteDemand(const Request& request, bool isRefused);
+  void CountDemand(const Request& request, bool isRefused);
 
   // Attempts (dispatcher.cpp).
   void Attempt(TimePoint now, Request& request, Outbox& outbox);
   void Send(TimePoint now, Request& request, const ServedTarget& target, Outbox& outbox);
-  bool TryWait(TimePoint now, const Request& request);
-  void ServeWaiting(TimePoint now, Outbox& outbox);
-  void UseRoom(TimePoint now, Outbox& outbox);
+  bool TryEnqueue(TimePoint now, const Request& request);
+  void DispatchQueued(TimePoint now, Outbox& outbox);
+  void UseFreedSlots(TimePoint now, Outbox& outbox);
   bool MayRetry(TimePoint now, const Request& request);
-  /// \brief What targets that started again had in flight goes elsewhere, where it may.
-  void EndFormerLives(TimePoint now,
-                      std::span<const InstanceId> restarted,
-                      std::vector<GatewayOutput>& outbox);
-  /// \brief Those of the requests at the target that may run elsewhere are sent there.
+  /// \brief Retries the requests that were in flight at restarted targets, where permitted.
+  void RetryAfterRestart(TimePoint now,
+                         std::span<const InstanceId> restarted,
+                         std::vector<GatewayOutput>& outbox);
+  /// \brief Retries the requests at the matching targets that may be sent to another one.
   void MoveRequests(TimePoint now,
                     const std::function<bool(const TargetLife&)>& isLost,
-                    const char* trouble,
+                    const char* error,
                     Outbox& outbox);
   void StopAttempt(Request& request, Outbox& outbox, bool cancel);
-  void AttemptEnded(TimePoint now, Request& request, Outbox& outbox, bool ran, std::string trouble);
+  void AttemptEnded(TimePoint now, Request& request, Outbox& outbox, bool ran, std::string error);
   void OnHead(TimePoint now, Request& request, const TargetAnswerIn& part, Outbox& outbox);
   void OnBody(TimePoint now, Request& request, const TargetAnswerIn& part, Outbox& outbox);
-  void PassEvents(TimePoint now, Request& request, const TargetAnswerIn& part, Outbox& outbox);
+  void ForwardEvents(TimePoint now, Request& request, const TargetAnswerIn& part, Outbox& outbox);
 
   // Ends (dispatcher_end.cpp).
   void GiveUp(TimePoint now, Request& request, Outbox& outbox);
@@ -157,10 +157,10 @@
 
   GatewayApi m_api;
   std::function<std::uint64_t()> m_random;
-  TargetBoard m_board;
+  TargetSelector m_selector;
   RetryAllowance m_retries;
-  WaitingLine m_line;
-  std::multiset<ServedKind> m_freed; ///< Places that came free and are not used yet.
+  WaitQueue m_queue;
+  std::multiset<ServedKind> m_freedSlots; ///< Freed since the queue was last served.
   std::unordered_map<ExchangeId, Request> m_requests;
   std::unordered_map<ExchangeId, ExchangeId> m_attempts; ///< Attempt to request.
   std::set<std::pair<TimePoint, ExchangeId>> m_deadlines;
--- a/include/gooseberrysail/gateway/event_splitter.hpp
+++ b/include/gooseberrysail/gateway/event_splitter.hpp
@@ -5,28 +5,30 @@
 
 namespace gooseberrysail {
 
-/// \brief Cuts a stream of server-sent events into whole events and notes the last id.
-/// \remarks A target may die in the middle of an event. Only whole events are passed on, so that
-/// another target can go on after the last one without a caller seeing half an event.
+/// \brief Splits a stream of server-sent events into complete events and records the last id.
+/// \remarks A target may fail in the middle of an event. Only complete events are forwarded, so
+/// that another target can resume after the last one and no caller receives a partial event.
 class EventSplitter
 {
 public:
-  /// \returns The bytes of all events that are whole now.
+  /// \brief Appends received bytes.
+  /// \returns The bytes of all events that are complete now.
   [[nodiscard]] std::string Take(std::string_view bytes);
 
-  /// \brief What follows the last whole event; at a proper end it belongs to the answer.
-  [[nodiscard]] std::string TakeRest();
+  /// \brief Takes the bytes after the last complete event. If the answer ended normally, they are
+  /// part of it.
+  [[nodiscard]] std::string TakePartial();
 
-  /// \brief Drops an event that will never be whole.
-  void DropRest() { m_rest.clear(); }
+  /// \brief Discards an event that will not be completed.
+  void DiscardPartial() { m_partial.clear(); }
 
-  /// \brief The id of the last whole event; "" before the first.
+  /// \brief The latest id in a complete event; "" before the first.
   [[nodiscard]] const std::string& LastId() const noexcept { return m_lastId; }
 
 private:
-  void NoteId(std::string_view event);
+  void UpdateLastId(std::string_view event);
 
-  std::string m_rest;
+  std::string m_partial;
   std::string m_lastId;
 };
 
--- a/include/gooseberrysail/gateway/feed_client.hpp
+++ b/include/gooseberrysail/gateway/feed_client.hpp
@@ -11,19 +11,19 @@
 namespace gooseberrysail {
 
 /// \brief Keeps this entry's copy of the serving document and of the targets up to date.
-/// \remarks When control is out of reach the entry goes on with what it holds. The document only
-/// moves to higher versions, in one life of the process.
+/// \remarks While control is unreachable the entry continues with the copy it has. While the
+/// process runs, the document is only replaced by higher versions.
 class FeedClient
 {
 public:
   FeedClient(std::vector<EntrySettings::Control> controls,
-             FailureDomainId own,
+             FailureDomainId ownDomain,
              DocumentReader readDocument);
 
   void AddControls(std::vector<EntrySettings::Control> controls);
 
-  /// \brief Asks every control process that is known, now and then; the one that leads is told what
-  /// this entry saw as well.
+  /// \brief Queries every known control process periodically. The query to the leader also reports
+  /// this entry's demand and its observations of heads.
   void Tick(TimePoint now, const Dispatcher& dispatcher, std::vector<GatewayOutput>& outbox);
 
   void OnState(TimePoint now,
@@ -34,38 +34,40 @@
 
   void OnPeerUp() noexcept { m_nextQuery = TimePoint{}; }
 
-  [[nodiscard]] const ServingKnowledge& Knowledge() const noexcept { return m_knowledge; }
+  [[nodiscard]] const ServingSnapshot& Snapshot() const noexcept { return m_snapshot; }
 
-  /// \brief Whether requests can be answered truthfully.
+  /// \brief Whether the document and the targets are known, so that requests can be routed.
   [[nodiscard]] bool IsReady() const noexcept
   {
-    return m_knowledge.index && m_knowledge.targetsSequence != 0;
+    return m_snapshot.index && m_snapshot.targetsSequence != 0;
   }
 
 private:
-  void TakeDocument(const ProcessId& peer,
-                    const wire::ServingStateT& state,
-                    std::vector<GatewayOutput>& outbox);
-  /// \returns Whether the state told anything of targets that this entry didn't know.
-  [[nodiscard]] bool TakeTargets(TimePoint now,
-                                 const wire::ServingStateT& state,
-                                 Dispatcher& dispatcher,
-                                 std::vector<GatewayOutput>& outbox);
-  /// \brief What this entry has; no more than that says what it lacks.
+  void ApplyDocument(const ProcessId& peer,
+                     const wire::ServingStateT& state,
+                     std::vector<GatewayOutput>& outbox);
+  /// \returns Whether the state contained newer targets and they were applied.
+  [[nodiscard]] bool ApplyTargets(TimePoint now,
+                                  const wire::ServingStateT& state,
+                                  Dispatcher& dispatcher,
+                                  std::vector<GatewayOutput>& outbox);
+  /// \brief States the versions that this entry has; control derives what is missing from them.
   [[nodiscard]] wire::ServingQueryT MakeQuery() const;
-  /// \brief Adds what this entry saw of callers and heads.
-  static void AddViews(TimePoint now, const Dispatcher& dispatcher, wire::ServingQueryT& query);
+  /// \brief Adds the demand of this entry's callers and its observations of heads.
+  static void AddObservations(TimePoint now,
+                              const Dispatcher& dispatcher,
+                              wire::ServingQueryT& query);
 
   std::map<ProcessId, std::string> m_controls; ///< With their addresses.
-  FailureDomainId m_own;
+  FailureDomainId m_ownDomain;
   DocumentReader m_readDocument;
-  ServingKnowledge m_knowledge;
-  std::uint64_t m_term = 0; ///< Of the leader that m_knowledge.targetsSequence comes from.
-  ProcessId m_leader;       ///< The latest process that spoke as leader.
-  bool m_lacksBase = false; ///< A change came that builds on one which never arrived.
+  ServingSnapshot m_snapshot;
+  std::uint64_t m_term = 0;    ///< Of the leader that m_snapshot.targetsSequence comes from.
+  ProcessId m_leader;          ///< The latest process that sent a state as leader.
+  bool m_missedChange = false; ///< A change arrived whose base this entry does not have.
   TimePoint m_nextQuery{};
   TimePoint m_lastQuery{};
-  TimePoint m_toldSilence{}; ///< Of the latest silence that control was told of.
+  TimePoint m_reportedNoAnswer{}; ///< Time of the latest missing answer in a query.
 };
 
 } // namespace gooseberrysail
--- a/include/gooseberrysail/gateway/gateway_api.hpp
+++ b/include/gooseberrysail/gateway/gateway_api.hpp
@@ -9,8 +9,8 @@
 #include <string>
 #include <vector>
 
-/// \file What a gateway needs to know of a caller's request and of a target's answer, and the hooks
-/// that read and write the HTTP headers in which callers and targets say it.
+/// \file The parts of a caller's request and of a target's answer that a gateway uses, and the
+/// hooks that convert them from and to HTTP.
 
 namespace gooseberrysail {
 
@@ -19,20 +19,20 @@
 {
   ExchangeId exchange;
   std::string method;
-  std::string target; ///< Path and query, passed on as sent.
+  std::string target; ///< Path and query, forwarded unchanged.
   std::string host;
-  std::string requestId;            ///< The caller's name for this attempt of its own.
-  std::optional<Duration> timeLeft; ///< How long the caller will wait.
-  std::string key;                  ///< "" when it shows none. Never logged, never passed on.
-  std::string model;                ///< "" when it names none.
+  std::string requestId;            ///< Chosen by the caller for each of its attempts.
+  std::optional<Duration> timeLeft; ///< The caller's timeout.
+  std::string key;                  ///< "" when absent. Never logged, never forwarded.
+  std::string model;                ///< "" when absent.
   std::uint32_t promptTokens = 0;
   std::uint32_t maxOutputTokens = 0;
   std::uint32_t expectedOutputTokens = 0; ///< The caller's estimate; 0 for none.
-  std::vector<HttpHeader> headers;        ///< Those that go on to the target as sent.
+  std::vector<HttpHeader> headers;        ///< Forwarded to the target unchanged.
   std::string body;
 };
 
-/// \brief One attempt at a target.
+/// \brief One attempt to run a call at a target.
 struct TargetAttempt
 {
   ExchangeId exchange; ///< Of the call to the target.
@@ -40,20 +40,20 @@
   const ServedTarget& target;
   Duration timeLeft{};
   std::string_view workspace;             ///< "" for public routes without a key.
-  std::optional<std::string> resumeAfter; ///< The last event that the caller has.
+  std::optional<std::string> resumeAfter; ///< Id of the last event sent to the caller.
 };
 
 /// \brief The head of a target's answer.
 struct TargetHead
 {
   unsigned status = 0;
-  std::string requestId;           ///< Which request it answers.
-  bool neverRan = false;           ///< The target says that it did not run the request.
-  bool isProven = false;           ///< Bears the target's seal.
-  std::vector<HttpHeader> headers; ///< To pass on to the caller.
+  std::string requestId;           ///< Of the request that it answers.
+  bool neverRan = false;           ///< The target states that it did not run the request.
+  bool isProven = false;           ///< Has the target's seal.
+  std::vector<HttpHeader> headers; ///< To forward to the caller.
 };
 
-/// \brief Translates between HTTP and the types above; all set.
+/// \brief Hooks that convert between HTTP and the types above; all must be set.
 struct GatewayApi
 {
   std::function<Result<GatewayCall>(HttpRequestIn)> decodeCall;
--- a/include/gooseberrysail/gateway/retry_allowance.hpp
+++ b/include/gooseberrysail/gateway/retry_allowance.hpp
@@ -9,17 +9,17 @@
 
 namespace gooseberrysail {
 
-/// \brief How many second attempts all entries together may make at one service.
+/// \brief Limit on the retries that all entries together may send to one service.
 struct RetrySettings
 {
-  double ratio = 0.2; ///< Of the requests for the service.
-  double slack = 100; ///< Besides, in each window.
+  double ratio = 0.2; ///< Retries per request to the service.
+  double slack = 100; ///< Additional retries in each window.
   Duration window = std::chrono::seconds(10);
 };
 
-/// \brief One entry's part of the retry budget of each service.
+/// \brief One entry's part of each service's retry budget.
 /// \remarks The ratio applies to this entry's own requests, and the slack is divided by the number
-/// of entries, so that all parts together stay within the budget without asking each other.
+/// of entries, so that the parts together stay within the budget without coordination.
 class RetryAllowance
 {
 public:
@@ -31,9 +31,10 @@
   void SetEntries(std::uint32_t entries) { m_entries = entries == 0 ? 1 : entries; }
 
   /// \brief A request for the service arrived.
-  void NoteRequest(TimePoint now, std::string_view service);
+  void CountRequest(TimePoint now, std::string_view service);
 
-  /// \brief Takes one second attempt out of the allowance.
+  /// \brief Uses one retry of the allowance.
+  /// \returns False when none is left.
   [[nodiscard]] bool TryTake(TimePoint now, std::string_view service);
 
 private:
@@ -42,11 +43,11 @@
     TimePoint since{};
     double requests = 0;
     double retries = 0;
-    double formerRequests = 0;
-    double formerRetries = 0;
+    double previousRequests = 0;
+    double previousRetries = 0;
   };
 
-  Window& At(TimePoint now, std::string_view service);
+  Window& CurrentWindow(TimePoint now, std::string_view service);
 
   RetrySettings m_settings;
   std::uint32_t m_entries = 1;
--- a/include/gooseberrysail/gateway/target_board.hpp
+++ b/include/gooseberrysail/gateway/target_board.hpp
@@ -14,8 +14,8 @@
 
 namespace gooseberrysail {
 
-/// \brief What an attempt needs of a target.
-struct TargetWish
+/// \brief The requirements of an attempt for its target.
+struct TargetQuery
 {
   std::string_view service;
   std::string_view model; ///< "" for plain services.
@@ -23,44 +23,43 @@
 };
 
 /// \brief Why no target can take a request.
-enum class NoTarget
+enum class NoTargetReason
 {
-  kNone,       ///< None serves it.
-  kFull,       ///< All have what they can take.
-  kSilent,     ///< Those with room have work and answer nothing.
-  kOutOfReach, ///< Those with room could not be reached a moment ago.
+  kNone,        ///< No listed target serves it.
+  kFull,        ///< All are at capacity.
+  kSilent,      ///< A head with requests in flight sends no bytes.
+  kUnreachable, ///< Those with capacity are unreachable or were already tried.
 };
 
-/// \brief For a log line and a caller's answer.
-[[nodiscard]] const char* ToString(NoTarget reason) noexcept;
+/// \brief Text for log lines and for the answer to the caller.
+[[nodiscard]] const char* ToString(NoTargetReason reason) noexcept;
 
-/// \brief The targets that this entry may use, with what it saw of each.
-class TargetBoard
+/// \brief Tracks the state of the targets as seen by this entry, and selects one for each attempt.
+class TargetSelector
 {
 public:
   struct Row
   {
     ServedTarget target;
-    std::uint32_t inFlight = 0;  ///< Of this entry.
-    TimePoint openedAt{};        ///< As a head, where that was seen.
-    TimePoint busySince{};       ///< In flight without a break since then.
-    TimePoint answeredAt{};      ///< Latest byte of any answer.
-    TimePoint silentAt{};        ///< Latest connection or answer that did not come in time.
-    TimePoint avoidUntil{};      ///< Left to the others while one of them has room.
-    TimePoint outOfReachUntil{}; ///< Gets nothing.
-    PaceMeter pace;
-    std::uint32_t failures = 0; ///< In a row.
-    bool gone = false;          ///< Not listed any more; kept while work is in flight.
+    std::uint32_t inFlight = 0;   ///< Requests of this entry.
+    TimePoint openedAt{};         ///< When it became a head; the epoch where unknown.
+    TimePoint busySince{};        ///< Since then at least one request was in flight.
+    TimePoint answeredAt{};       ///< When the latest byte of any answer arrived.
+    TimePoint noAnswerAt{};       ///< When an expected answer last failed to arrive.
+    TimePoint avoidUntil{};       ///< Used only when no other target has capacity.
+    TimePoint unreachableUntil{}; ///< Gets no requests.
+    StepTimeEstimator stepTime;
+    std::uint32_t failures = 0; ///< Consecutive.
+    bool gone = false;          ///< No longer listed; kept while requests are in flight.
   };
 
-  TargetBoard(FailureDomainId own, std::function<std::uint64_t()> random);
+  TargetSelector(FailureDomainId ownDomain, std::function<std::uint64_t()> random);
 
-  /// \brief Takes over the whole list. What was seen of the former life of a target that started
-  /// again is forgotten.
-  /// \returns The targets that started again.
+  /// \brief Replaces the whole list. The state of a target that has restarted is reset.
+  /// \returns The targets that have restarted.
   std::vector<InstanceId> Replace(std::span<const ServedTarget> targets);
 
-  /// \brief As Replace, of those that changed and those that are listed no more.
+  /// \brief Like Replace, with only the changed and the removed targets.
   std::vector<InstanceId> Change(TimePoint now,
                                  std::span<const ServedTarget> changed,
                                  std::span<const InstanceId> gone);
@@ -71,103 +70,109 @@
   /// \brief How many entries share the targets.
   void SetEntries(std::uint32_t entries) { m_entries = entries == 0 ? 1 : entries; }
 
-  /// \brief Which part of all callers of the model come to this entry, 0 to 1. Clients choose their
-  /// entry by a hash: some have twice as many as others, and with even parts of the heads' slots
-  /// they would refuse while the others had room.
-  void SetPart(const std::string& model, double part) { m_parts[model] = part; }
+  /// \brief Sets the fraction of the model's callers that use this entry, 0 to 1.
+  /// \remarks Clients choose their entry by a hash, so some entries have twice as many callers as
+  /// others. With equal parts of the heads' slots those would refuse requests while other entries
+  /// had free slots.
+  void SetCallerFraction(const std::string& model, double fraction)
+  {
+    m_callerFractions[model] = fraction;
+  }
 
-  /// \brief Which part of each head's slots this entry may use, of all that it may use; the others
-  /// are divided among other entries, which lend a place where theirs aren't enough here.
+  /// \brief Sets the heads that are assigned to this entry, with its fraction of each head's slots.
+  /// \remarks The other heads are assigned to other entries. This entry may borrow a limited number
+  /// of slots there when its own are taken.
   void SetShares(std::map<InstanceId, double> shares) { m_shares = std::move(shares); }
 
-  /// \brief The target for an attempt; null when none can take it now.
-  [[nodiscard]] const ServedTarget* Choose(TimePoint now, const TargetWish& wish);
+  /// \brief Selects the target for an attempt; null when none can take it now.
+  [[nodiscard]] const ServedTarget* Choose(TimePoint now, const TargetQuery& query);
 
-  /// \brief Whether the service has a target for the model at all, busy or avoided ones included.
-  [[nodiscard]] bool HasAny(const TargetWish& wish) const;
+  /// \brief Whether a listed target serves the query, including full and avoided ones.
+  [[nodiscard]] bool HasAny(const TargetQuery& query) const;
 
-  /// \brief Why Choose() found none.
-  [[nodiscard]] NoTarget WhyNone(TimePoint now, const TargetWish& wish) const;
+  /// \brief The reason why Choose() returned null.
+  [[nodiscard]] NoTargetReason ReasonForNoTarget(TimePoint now, const TargetQuery& query) const;
 
-  // Of a former life of a target these change nothing.
+  // The functions below ignore events of a target's instance from before its latest restart.
 
   void OnSent(TimePoint now, const TargetLife& life);
   void OnBytes(TimePoint now, const TargetLife& life);
   void OnEnded(const TargetLife& life);
 
-  /// \brief A plain service's whole answer came `took` after it was asked for.
+  /// \brief A plain service's whole answer arrived `took` after its request was sent.
   void OnAnswerTime(TimePoint now, const TargetLife& life, Duration took);
 
-  /// \brief The target refused or failed: for a moment it gets only what no other has room for,
-  /// longer each time in a row.
-  void OnTrouble(TimePoint now, const TargetLife& life);
+  /// \brief The target refused or failed. For a short time it is used only when no other target has
+  /// capacity; the time doubles with each consecutive failure, up to a limit.
+  void OnFailure(TimePoint now, const TargetLife& life);
 
-  /// \brief The target did not answer at all: as OnTrouble, and control is told.
-  void OnSilence(TimePoint now, const TargetLife& life);
+  /// \brief An expected answer failed to arrive: like OnFailure, and reported to control.
+  void OnNoAnswer(TimePoint now, const TargetLife& life);
 
-  /// \brief Nobody could be reached there: as OnSilence, and it gets nothing for a moment.
-  void OnOutOfReach(TimePoint now, const TargetLife& life);
+  /// \brief The connection failed: like OnNoAnswer, and the target gets no requests meanwhile.
+  void OnUnreachable(TimePoint now, const TargetLife& life);
 
-  /// \brief When a target last gave no answer.
-  [[nodiscard]] TimePoint LatestSilence() const noexcept { return m_latestSilence; }
+  /// \brief The time of the latest OnNoAnswer() of any target.
+  [[nodiscard]] TimePoint LatestNoAnswer() const noexcept { return m_latestNoAnswer; }
 
-  /// \brief A whole answer came.
+  /// \brief A whole answer arrived.
   void OnSuccess(const TargetLife& life);
 
-  /// \brief Heads with work in flight of which no byte came for kStall.
-  [[nodiscard]] std::vector<TargetLife> StalledHeads(TimePoint now) const;
+  /// \brief Heads with requests in flight that sent no bytes for longer than kStalledAfter.
+  [[nodiscard]] std::vector<TargetLife> ListStalledHeads(TimePoint now) const;
 
   [[nodiscard]] const std::map<InstanceId, Row>& Rows() const noexcept { return m_rows; }
 
-  /// \brief A head that works sends some event of some request every 100 ms, and within 250 ms
-  /// while it reads long prompts; one that waits for a dead member sends none for seconds. After
-  /// kSuspect it gets no more work; after kStall what it has goes elsewhere, where that is allowed.
-  static constexpr Duration kSuspect = std::chrono::milliseconds(300);
-  static constexpr Duration kStall = std::chrono::milliseconds(600);
+  /// \brief A working head sends an event of some request every 100 ms, and within 250 ms while it
+  /// reads long prompts. A head that waits for a failed member sends none for seconds. After
+  /// kSuspectAfter it gets no new requests; after kStalledAfter its requests are retried elsewhere
+  /// where permitted.
+  static constexpr Duration kSuspectAfter = std::chrono::milliseconds(300);
+  static constexpr Duration kStalledAfter = std::chrono::milliseconds(600);
 
 private:
-  /// \param openedAt When heads that are new began to take work; the epoch of the clock where that
-  /// isn't known.
-  std::vector<InstanceId> TakeOverAll(TimePoint openedAt, std::span<const ServedTarget> targets);
-  /// \returns Whether the target started again.
-  bool TakeOver(TimePoint openedAt, const ServedTarget& target);
-  /// \brief Which part of its room a head should have by now.
-  [[nodiscard]] static double Filled(TimePoint now, const Row& row);
-  /// \brief Drops rows that are listed no more and have no work in flight.
+  /// \param openedAt When new heads began to accept work; the epoch of the clock where unknown.
+  std::vector<InstanceId> ApplyUpdates(TimePoint openedAt, std::span<const ServedTarget> targets);
+  /// \returns Whether the target has restarted.
+  bool ApplyUpdate(TimePoint openedAt, const ServedTarget& target);
+  /// \brief The fraction of its capacity that a head should have during slow start; 1 afterwards.
+  [[nodiscard]] static double WarmUpFraction(TimePoint now, const Row& row);
+  /// \brief Erases rows that are no longer listed and have no requests in flight.
   void DropGone();
-  /// \brief Null for a target that is not listed, and for a former life of one that is.
+  /// \brief Null for a target without a row, and for an instance from before its restart.
   [[nodiscard]] Row* FindRow(const TargetLife& life);
   [[nodiscard]] static bool IsSilent(TimePoint now, const Row& row, Duration limit);
-  [[nodiscard]] static bool Fits(const Row& row, const TargetWish& wish);
-  /// \brief How the heads of a wish stand to this entry.
-  struct Own
+  [[nodiscard]] static bool Fits(const Row& row, const TargetQuery& query);
+  /// \brief How the heads that fit a query are divided between the entries.
+  struct ShareState
   {
-    bool isDivided = false; ///< Some head is in this entry's share.
-    std::uint32_t lent = 0; ///< Places that may be used at heads in others' shares.
+    bool isDivided = false;       ///< At least one head is assigned to this entry.
+    std::uint32_t borrowable = 0; ///< Slots left to use at other entries' heads.
   };
-  /// \brief The part of the model's callers that come to this entry, as far as it was told.
-  [[nodiscard]] double PartOf(std::string_view model) const;
-  [[nodiscard]] Own OwnOf(const TargetWish& wish) const;
-  [[nodiscard]] bool IsLent(const ServedTarget& target, const Own& own) const;
-  [[nodiscard]] std::uint32_t RoomOf(const ServedTarget& target, const Own& own) const;
-  /// \brief How soon a target has room for one more, for comparison: its load by its pace.
+  /// \brief The fraction of the model's callers that use this entry; equal for all if not set.
+  [[nodiscard]] double CallerFraction(std::string_view model) const;
+  [[nodiscard]] ShareState ShareStateOf(const TargetQuery& query) const;
+  [[nodiscard]] bool IsBorrowed(const ServedTarget& target, const ShareState& shareState) const;
+  [[nodiscard]] std::uint32_t CapacityOf(const ServedTarget& target,
+                                         const ShareState& shareState) const;
+  /// \brief Cost of one more request, for comparison: the load, times the slowness of a slow
+  /// target.
   [[nodiscard]] double CostOf(TimePoint now,
                               const Row& row,
-                              Duration usualStep,
-                              const Own& own) const;
+                              Duration fastestStep,
+                              const ShareState& shareState) const;
   [[nodiscard]] std::vector<const Row*> ListUsable(TimePoint now,
-                                                   const TargetWish& wish,
-                                                   const Own& own) const;
+                                                   const TargetQuery& query,
+                                                   const ShareState& shareState) const;
   static bool IsAvoided(TimePoint now, const Row& row);
 
-  FailureDomainId m_own;
+  FailureDomainId m_ownDomain;
   std::uint32_t m_entries = 1;
-  std::map<std::string, double, std::less<>>
-    m_parts;                             ///< By model; an even part for those not told of.
-  std::map<InstanceId, double> m_shares; ///< Of the heads in this entry's share.
+  std::map<std::string, double, std::less<>> m_callerFractions; ///< By model.
+  std::map<InstanceId, double> m_shares;                        ///< Fraction of slots, by head.
   std::function<std::uint64_t()> m_random;
   std::map<InstanceId, Row> m_rows;
-  TimePoint m_latestSilence{};
+  TimePoint m_latestNoAnswer{};
 };
 
 } // namespace gooseberrysail
--- a/include/gooseberrysail/gateway/waiting_line.hpp
+++ b/include/gooseberrysail/gateway/waiting_line.hpp
@@ -13,7 +13,7 @@
 
 namespace gooseberrysail {
 
-/// \brief What is served by one set of targets: a service, and a model where it has engines.
+/// \brief Identifies a set of interchangeable targets: a service, and the model if it has engines.
 struct ServedKind
 {
   std::string service;
@@ -22,58 +22,58 @@
   friend auto operator<=>(const ServedKind&, const ServedKind&) = default;
 };
 
-/// \brief Requests that wait at an entry for a moment because all targets are full.
-/// \remarks The targets of a model are full at this entry while some of them end a request each few
-/// ten milliseconds. A caller who is refused comes back after the objective has passed; one who
-/// waits for the next place is in time. Nobody waits for longer than that leaves time for an answer
-/// within the objective, and nobody joins a line that would take longer: those are refused at once.
-class WaitingLine
+/// \brief Holds requests for a short time while all targets are full.
+/// \remarks Full targets of a model free a slot every few tens of milliseconds. A refused caller
+/// retries after its objective has passed, whereas one that waits for the next slot meets it. A
+/// request waits only as long as leaves time for an answer within the objective. It is refused at
+/// once if the expected wait is longer.
+class WaitQueue
 {
 public:
-  /// \brief A target of this kind has room for one more.
-  void OnRoom(TimePoint now, const ServedKind& kind);
+  /// \brief A slot came free at a target of this kind.
+  void OnSlotFreed(TimePoint now, const ServedKind& kind);
 
-  /// \brief The first event of a request came `took` after it was sent.
+  /// \brief The first event of a request arrived `took` after it was sent.
   void OnFirstEvent(const ServedKind& kind, Duration took);
 
-  /// \brief How long one more would likely wait; none where no place came free lately.
+  /// \brief Expected wait of one more request; none when no slots came free recently.
   [[nodiscard]] std::optional<Duration> ExpectedWait(TimePoint now, const ServedKind& kind) const;
 
-  /// \brief Puts a request in line.
-  /// \param objective Within which its first event should come.
-  /// \returns False where it would not be in time.
-  bool TryJoin(TimePoint now, const ServedKind& kind, ExchangeId exchange, Duration objective);
+  /// \brief Queues a request.
+  /// \param objective Time within which its first event should arrive.
+  /// \returns False when it would not meet the objective.
+  bool TryEnqueue(TimePoint now, const ServedKind& kind, ExchangeId exchange, Duration objective);
 
-  /// \brief The request that must be served soonest; none where nobody waits.
+  /// \brief The request with the earliest end of its wait; none when the queue is empty.
   [[nodiscard]] ExchangeId First(const ServedKind& kind) const;
 
   void Remove(ExchangeId exchange);
 
-  /// \brief Takes out those whose time for waiting is over.
+  /// \brief Removes and returns the requests that may not wait any longer.
   [[nodiscard]] std::vector<ExchangeId> TakeExpired(TimePoint now);
 
-  /// \brief The kinds of which somebody waits.
+  /// \brief The kinds that have queued requests.
   [[nodiscard]] std::vector<ServedKind> ListWaiting() const;
 
 private:
-  struct Place
+  struct QueuedRequest
   {
     ServedKind kind;
     TimePoint until{};
   };
 
-  struct Kind
+  struct KindQueue
   {
-    std::set<std::pair<TimePoint, ExchangeId>> line; ///< By the end of their time for waiting.
-    double rooms = 0;                                ///< That came free lately, at `countedAt`.
+    std::set<std::pair<TimePoint, ExchangeId>> queue; ///< By the end of their wait.
+    double freedSlots = 0;                            ///< Decayed count, as of `countedAt`.
     TimePoint countedAt{};
-    Duration firstEvent{}; ///< Smoothed time from sending to the first event; zero: not known.
+    Duration firstEvent{}; ///< Smoothed time from sending to the first event; zero while unknown.
   };
 
-  [[nodiscard]] static double RoomsPerSecond(TimePoint now, const Kind& kind);
+  [[nodiscard]] static double SlotsFreedPerSecond(TimePoint now, const KindQueue& kind);
 
-  std::map<ServedKind, Kind> m_kinds;
-  std::map<ExchangeId, Place> m_places;
+  std::map<ServedKind, KindQueue> m_kinds;
+  std::map<ExchangeId, QueuedRequest> m_requests;
 };
 
 } // namespace gooseberrysail
--- a/include/gooseberrysail/roles/gateway_role.hpp
+++ b/include/gooseberrysail/roles/gateway_role.hpp
@@ -18,8 +18,8 @@
   RetrySettings retries;
 };
 
-/// \brief An entry's decisions for routes of the serving document: straight from callers to targets
-/// and heads of groups. No I/O inside.
+/// \brief Decides how an entry forwards requests to targets and to the heads of groups, by the
+/// routes of the serving document. Does no I/O.
 class GatewayRole
 {
 public:
@@ -28,15 +28,15 @@
   GatewayRole(const GatewayRole&) = delete;
   GatewayRole& operator=(const GatewayRole&) = delete;
 
-  /// \brief Takes in what arrived and appends what must go out.
-  /// \param now BootClock time; never goes back.
-  /// \remarks Call it at once when something arrives and at least every kTickInterval.
+  /// \brief Processes the inputs and appends the outputs.
+  /// \param now BootClock time; must not decrease.
+  /// \remarks Must be called as soon as an input arrives, and at least every kTickInterval.
   void Tick(TimePoint now, std::span<const GatewayInput> inbox, std::vector<GatewayOutput>& outbox);
 
-  /// \brief Further control processes to ask, from changed settings.
+  /// \brief Adds control processes to query, from changed settings.
   void AddControls(std::vector<EntrySettings::Control> controls);
 
-  /// \brief Whether a balancer should send callers here.
+  /// \brief Whether a load balancer should send callers to this entry.
   [[nodiscard]] bool IsReady() const noexcept;
 
   static constexpr Duration kTickInterval = std::chrono::milliseconds(50);
--- a/src/gateway/dispatcher.cpp
+++ b/src/gateway/dispatcher.cpp
@@ -10,8 +10,8 @@
 
 using namespace std::chrono_literals;
 
-/// With less than this left no target can answer in time.
-constexpr Duration kLeastTimeLeft = 5ms;
+/// With less time left than this, no target can answer before the deadline.
+constexpr Duration kMinTimeLeft = 5ms;
 
 constexpr unsigned kServerFault = 500;
 
@@ -24,11 +24,11 @@
 
 Dispatcher::Dispatcher(GatewayApi api,
                        RetrySettings retries,
-                       FailureDomainId own,
+                       FailureDomainId ownDomain,
                        std::function<std::uint64_t()> random)
   : m_api(std::move(api))
   , m_random(random)
-  , m_board(std::move(own), std::move(random))
+  , m_selector(std::move(ownDomain), std::move(random))
   , m_retries(retries)
 {
 }
@@ -48,9 +48,9 @@
 void Dispatcher::Attempt(TimePoint now, Request& request, Outbox& outbox)
 {
   const ServedTarget* target =
-    m_board.Choose(now, { request.service, request.model, request.tried });
+    m_selector.Choose(now, { request.service, request.model, request.tried });
   if (target == nullptr) {
-    if (!TryWait(now, request)) {
+    if (!TryEnqueue(now, request)) {
       GiveUp(now, request, outbox);
     }
     return;
@@ -66,41 +66,44 @@
   request.tried.insert(target.instance);
   request.streams = false;
   if (++request.attempts == 1) {
-    NoteDemand(request, false);
+    CountDemand(request, false);
   }
   m_attempts.emplace(attempt, request.call.exchange);
   std::optional<std::string> resumeAfter;
-  if (request.headPassed && !request.events.LastId().empty()) {
+  if (request.headForwarded && !request.events.LastId().empty()) {
     resumeAfter = request.events.LastId();
   }
   outbox.emplace_back(m_api.encodeAttempt(
     { attempt, request.call, target, request.deadline - now, request.workspace, resumeAfter }));
   request.sentAt = now;
-  m_board.OnSent(now, request.target);
+  m_selector.OnSent(now, request.target);
 }
 
-// Only what was not sent yet: a second attempt has used up the time that waiting needs.
-bool Dispatcher::TryWait(TimePoint now, const Request& request)
+// Only requests that were never sent are queued: a retry has no time left to wait.
+bool Dispatcher::TryEnqueue(TimePoint now, const Request& request)
 {
-  const NoTarget reason = m_board.WhyNone(now, { request.service, request.model, request.tried });
-  const bool mayWait = request.attempts == 0 && !request.model.empty() && reason == NoTarget::kFull;
-  return mayWait && m_line.TryJoin(now,
-                                   { request.service, request.model },
-                                   request.call.exchange,
-                                   request.route->objective);
+  const NoTargetReason reason =
+    m_selector.ReasonForNoTarget(now, { request.service, request.model, request.tried });
+  const bool mayWait =
+    request.attempts == 0 && !request.model.empty() && reason == NoTargetReason::kFull;
+  return mayWait && m_queue.TryEnqueue(now,
+                                       { request.service, request.model },
+                                       request.call.exchange,
+                                       request.route->objective);
 }
 
-/// Those who wait take the room that came free.
-void Dispatcher::ServeWaiting(TimePoint now, Outbox& outbox)
+/// Sends queued requests while targets have capacity.
+void Dispatcher::DispatchQueued(TimePoint now, Outbox& outbox)
 {
-  for (const ServedKind& kind : m_line.ListWaiting()) {
-    for (ExchangeId first = m_line.First(kind); !first.IsNone(); first = m_line.First(kind)) {
+  for (const ServedKind& kind : m_queue.ListWaiting()) {
+    for (ExchangeId first = m_queue.First(kind); !first.IsNone(); first = m_queue.First(kind)) {
       Request& request = *Find(first);
-      const ServedTarget* target = m_board.Choose(now, { kind.service, kind.model, request.tried });
+      const ServedTarget* target =
+        m_selector.Choose(now, { kind.service, kind.model, request.tried });
       if (target == nullptr) {
         break;
       }
-      m_line.Remove(first);
+      m_queue.Remove(first);
       Send(now, request, *target, outbox);
     }
   }
@@ -110,8 +113,8 @@
 {
   const bool repeatable = !request.mayHaveRun || MayRunAgain(request.route->repeat);
   return repeatable && request.attempts < request.route->maxAttempts &&
-         request.deadline - now > kLeastTimeLeft &&
-         m_board.Choose(now, { request.service, request.model, request.tried }) != nullptr &&
+         request.deadline - now > kMinTimeLeft &&
+         m_selector.Choose(now, { request.service, request.model, request.tried }) != nullptr &&
          m_retries.TryTake(now, request.service);
 }
 
@@ -124,29 +127,29 @@
     outbox.emplace_back(TargetCancelOut{ request.attempt });
   }
   m_attempts.erase(request.attempt);
-  m_board.OnEnded(request.target);
-  m_freed.insert({ request.service, request.model });
+  m_selector.OnEnded(request.target);
+  m_freedSlots.insert({ request.service, request.model });
   request.attempt = ExchangeId();
 }
 
-/// An attempt brought no answer that can be passed on.
+/// The attempt ended without an answer that can be forwarded.
 void Dispatcher::AttemptEnded(TimePoint now,
                               Request& request,
                               Outbox& outbox,
                               bool ran,
-                              std::string trouble)
+                              std::string error)
 {
   StopAttempt(request, outbox, true);
-  m_board.OnTrouble(now, request.target);
+  m_selector.OnFailure(now, request.target);
   request.mayHaveRun = request.mayHaveRun || ran;
-  request.lastTrouble = std::move(trouble);
-  request.events.DropRest();
+  request.lastError = std::move(error);
+  request.events.DiscardPartial();
   outbox.emplace_back(MakeEvent(EventNumber::kGatewayAttemptFailed,
                                 { { "request", request.call.requestId },
                                   { "attempt", std::to_string(request.attempts) },
                                   { "target", request.target.instance.Get() },
                                   { "ran", ran ? "maybe" : "no" },
-                                  { "reason", request.lastTrouble } }));
+                                  { "reason", request.lastError } }));
   if (MayRetry(now, request)) {
     Attempt(now, request, outbox);
   } else {
@@ -160,13 +163,13 @@
   if (request == nullptr) {
     return;
   }
-  m_board.OnBytes(now, request->target);
+  m_selector.OnBytes(now, request->target);
   if (part.status) {
     OnHead(now, *request, part, outbox);
   } else {
     OnBody(now, *request, part, outbox);
   }
-  UseRoom(now, outbox);
+  UseFreedSlots(now, outbox);
 }
 
 void Dispatcher::OnHead(TimePoint now, Request& request, const TargetAnswerIn& part, Outbox& outbox)
@@ -176,7 +179,7 @@
     AttemptEnded(now, request, outbox, false, "refused with " + std::to_string(head.status));
     return;
   }
-  // Bytes that an earlier exchange left on the connection look like an answer to this request.
+  // Bytes left on the connection by an earlier exchange look like an answer to this request.
   if (head.requestId != request.call.requestId) {
     AttemptEnded(now, request, outbox, true, "an answer to another request");
     return;
@@ -185,24 +188,24 @@
     AttemptEnded(now, request, outbox, true, "a success without its seal");
     return;
   }
-  if (head.status >= kServerFault && MayRunAgain(request.route->repeat) && !request.headPassed &&
+  if (head.status >= kServerFault && MayRunAgain(request.route->repeat) && !request.headForwarded &&
       MayRetry(now, request)) {
     StopAttempt(request, outbox, true);
     request.mayHaveRun = true;
-    request.lastTrouble = "failed with " + std::to_string(head.status);
+    request.lastError = "failed with " + std::to_string(head.status);
     Attempt(now, request, outbox);
     return;
   }
   request.streams = IsStream(request.route->repeat) && IsSuccess(head.status);
-  if (request.headPassed && !request.streams) {
+  if (request.headForwarded && !request.streams) {
     AttemptEnded(now, request, outbox, true, "could not go on with the stream");
     return;
   }
-  if (!request.headPassed) {
-    request.whole = HttpAnswerOut{};
-    request.whole.exchange = request.call.exchange;
-    request.whole.status = head.status;
-    request.whole.headers = std::move(head.headers);
+  if (!request.headForwarded) {
+    request.bufferedAnswer = HttpAnswerOut{};
+    request.bufferedAnswer.exchange = request.call.exchange;
+    request.bufferedAnswer.status = head.status;
+    request.bufferedAnswer.headers = std::move(head.headers);
   }
   OnBody(now, request, part, outbox);
 }
@@ -210,43 +213,43 @@
 void Dispatcher::OnBody(TimePoint now, Request& request, const TargetAnswerIn& part, Outbox& outbox)
 {
   if (request.streams) {
-    PassEvents(now, request, part, outbox);
+    ForwardEvents(now, request, part, outbox);
     return;
   }
-  // Passed on in one piece: an answer that breaks off half way can still be replaced.
-  request.whole.bytes += part.bytes;
+  // Buffered until complete, so that an answer that breaks off can still be replaced by a retry.
+  request.bufferedAnswer.bytes += part.bytes;
   if (!part.end) {
     return;
   }
-  request.whole.end = true;
-  const unsigned status = request.whole.status.value_or(0);
+  request.bufferedAnswer.end = true;
+  const unsigned status = request.bufferedAnswer.status.value_or(0);
   if (request.model.empty()) {
-    m_board.OnAnswerTime(now, request.target, now - request.sentAt);
+    m_selector.OnAnswerTime(now, request.target, now - request.sentAt);
   }
-  outbox.emplace_back(std::move(request.whole));
+  outbox.emplace_back(std::move(request.bufferedAnswer));
   StopAttempt(request, outbox, false);
-  m_board.OnSuccess(request.target);
+  m_selector.OnSuccess(request.target);
   End(now, request, "answered", status, outbox);
 }
 
-void Dispatcher::PassEvents(TimePoint now,
-                            Request& request,
-                            const TargetAnswerIn& part,
-                            Outbox& outbox)
+void Dispatcher::ForwardEvents(TimePoint now,
+                               Request& request,
+                               const TargetAnswerIn& part,
+                               Outbox& outbox)
 {
   std::string events = request.events.Take(part.bytes);
   if (part.end) {
-    events += request.events.TakeRest();
+    events += request.events.TakePartial();
   }
   if (events.empty() && !part.end) {
     return;
   }
   HttpAnswerOut out;
-  if (!request.headPassed) {
-    out = std::move(request.whole);
-    request.headPassed = true;
-    request.firstAt = now;
-    m_line.OnFirstEvent({ request.service, request.model }, now - request.sentAt);
+  if (!request.headForwarded) {
+    out = std::move(request.bufferedAnswer);
+    request.headForwarded = true;
+    request.firstEventAt = now;
+    m_queue.OnFirstEvent({ request.service, request.model }, now - request.sentAt);
   }
   out.exchange = request.call.exchange;
   out.bytes = std::move(events);
@@ -255,7 +258,7 @@
   outbox.emplace_back(std::move(out));
   if (part.end) {
     StopAttempt(request, outbox, false);
-    m_board.OnSuccess(request.target);
+    m_selector.OnSuccess(request.target);
     End(now, request, "answered", status, outbox);
   }
 }
@@ -264,16 +267,16 @@
 {
   if (Request* request = FindByAttempt(failed.exchange)) {
     if (failed.neverSent) {
-      m_board.OnOutOfReach(now, request->target);
+      m_selector.OnUnreachable(now, request->target);
     } else {
-      m_board.OnSilence(now, request->target);
+      m_selector.OnNoAnswer(now, request->target);
     }
     AttemptEnded(now,
                  *request,
                  outbox,
                  !failed.neverSent,
                  failed.error.step + ": " + failed.error.description);
-    UseRoom(now, outbox);
+    UseFreedSlots(now, outbox);
   }
 }
 
@@ -282,7 +285,7 @@
   if (Request* request = Find(exchange)) {
     StopAttempt(*request, outbox, true);
     End(now, *request, "caller-gone", 0, outbox);
-    UseRoom(now, outbox);
+    UseFreedSlots(now, outbox);
   }
 }
 
@@ -291,33 +294,33 @@
   while (!m_deadlines.empty() && m_deadlines.begin()->first <= now) {
     Request& request = *Find(m_deadlines.begin()->second);
     request.mayHaveRun = request.mayHaveRun || !request.attempt.IsNone();
-    request.lastTrouble = "the time for the answer is over";
+    request.lastError = "the time for the answer is over";
     StopAttempt(request, outbox, true);
     GiveUp(now, request, outbox);
   }
-  for (const ExchangeId exchange : m_line.TakeExpired(now)) {
+  for (const ExchangeId exchange : m_queue.TakeExpired(now)) {
     GiveUp(now, *Find(exchange), outbox);
   }
-  for (const TargetLife& head : m_board.StalledHeads(now)) {
-    m_board.OnSilence(now, head);
+  for (const TargetLife& head : m_selector.ListStalledHeads(now)) {
+    m_selector.OnNoAnswer(now, head);
     const auto isStalled = [&](const TargetLife& target) { return target == head; };
     MoveRequests(now, isStalled, "its head stands still", outbox);
   }
-  UseRoom(now, outbox);
+  UseFreedSlots(now, outbox);
 }
 
-void Dispatcher::UseRoom(TimePoint now, Outbox& outbox)
+void Dispatcher::UseFreedSlots(TimePoint now, Outbox& outbox)
 {
-  for (const ServedKind& kind : m_freed) {
-    m_line.OnRoom(now, kind);
+  for (const ServedKind& kind : m_freedSlots) {
+    m_queue.OnSlotFreed(now, kind);
   }
-  m_freed.clear();
-  ServeWaiting(now, outbox);
+  m_freedSlots.clear();
+  DispatchQueued(now, outbox);
 }
 
 void Dispatcher::OnTargets(TimePoint now, std::span<const ServedTarget> targets, Outbox& outbox)
 {
-  EndFormerLives(now, m_board.Replace(targets), outbox);
+  RetryAfterRestart(now, m_selector.Replace(targets), outbox);
 }
 
 void Dispatcher::OnTargetChanges(TimePoint now,
@@ -325,24 +328,24 @@
                                  std::span<const InstanceId> gone,
                                  Outbox& outbox)
 {
-  EndFormerLives(now, m_board.Change(now, changed, gone), outbox);
+  RetryAfterRestart(now, m_selector.Change(now, changed, gone), outbox);
 }
 
-void Dispatcher::EndFormerLives(TimePoint now,
-                                std::span<const InstanceId> restarted,
-                                Outbox& outbox)
+void Dispatcher::RetryAfterRestart(TimePoint now,
+                                   std::span<const InstanceId> restarted,
+                                   Outbox& outbox)
 {
-  const auto isOver = [&](const TargetLife& target) {
+  const auto hasRestarted = [&](const TargetLife& target) {
     return std::ranges::find(restarted, target.instance) != restarted.end();
   };
-  MoveRequests(now, isOver, "its target started again", outbox);
-  UseRoom(now, outbox); // A group may have opened.
+  MoveRequests(now, hasRestarted, "its target started again", outbox);
+  UseFreedSlots(now, outbox); // A new group may have opened.
 }
 
-// What may not run elsewhere stays: an answer that was made before may still arrive.
+// Requests that may not be retried stay: their answer may already have been sent.
 void Dispatcher::MoveRequests(TimePoint now,
                               const std::function<bool(const TargetLife&)>& isLost,
-                              const char* trouble,
+                              const char* error,
                               Outbox& outbox)
 {
   std::vector<ExchangeId> waiting;
@@ -354,7 +357,7 @@
   for (const ExchangeId exchange : waiting) {
     Request& request = *Find(exchange);
     if (MayRetry(now, request)) {
-      AttemptEnded(now, request, outbox, true, trouble);
+      AttemptEnded(now, request, outbox, true, error);
     }
   }
 }
--- a/src/gateway/dispatcher_arrival.cpp
+++ b/src/gateway/dispatcher_arrival.cpp
@@ -8,14 +8,14 @@
 
 using namespace std::chrono_literals;
 
-/// A process that just started gets its document within a second or two.
+/// A process that has just started receives its document within one to two seconds.
 constexpr Duration kNoDocumentRetry = 1s;
 
 } // namespace
 
 void Dispatcher::OnRequest(TimePoint now,
                            HttpRequestIn incoming,
-                           const ServingKnowledge& knowledge,
+                           const ServingSnapshot& snapshot,
                            Outbox& outbox)
 {
   const ExchangeId exchange = incoming.exchange;
@@ -28,14 +28,14 @@
     return;
   }
   request.call = std::move(call).value();
-  if (const std::optional<Refusal> refusal = Admit(now, knowledge, request)) {
+  if (const std::optional<Refusal> refusal = Admit(now, snapshot, request)) {
     Refuse(now, request, *refusal, outbox);
     return;
   }
-  m_retries.NoteRequest(now, request.service);
+  m_retries.CountRequest(now, request.service);
   m_deadlines.emplace(request.deadline, exchange);
-  Request& kept = m_requests.emplace(exchange, std::move(request)).first->second;
-  Attempt(now, kept, outbox);
+  Request& stored = m_requests.emplace(exchange, std::move(request)).first->second;
+  Attempt(now, stored, outbox);
 }
 
 void Dispatcher::Refuse(TimePoint now,
@@ -54,16 +54,16 @@
 }
 
 std::optional<Dispatcher::Refusal> Dispatcher::Admit(TimePoint now,
-                                                     const ServingKnowledge& knowledge,
+                                                     const ServingSnapshot& snapshot,
                                                      Request& request)
 {
-  // Without a document nobody can say that a route or a key does not exist.
-  if (!knowledge.index) {
+  // Without a document it is unknown whether the route or the key exists.
+  if (!snapshot.index) {
     return Refusal{ 503, "no serving document is known yet", kNoDocumentRetry };
   }
-  request.index = knowledge.index;
-  request.targetsSequence = knowledge.targetsSequence;
-  request.knowledgeAge = now - knowledge.heardAt;
+  request.index = snapshot.index;
+  request.targetsSequence = snapshot.targetsSequence;
+  request.snapshotAge = now - snapshot.confirmedAt;
   request.route = request.index->Match(request.call.host, request.call.target);
   if (request.route == nullptr) {
     return Refusal{ 404, "no route has this host and path", std::nullopt };
@@ -76,12 +76,12 @@
   }
   const Duration timeLeft = request.call.timeLeft.value_or(request.route->timeout);
   request.deadline = now + std::min(timeLeft, request.route->timeout);
-  PickService(request);
+  SelectService(request);
   return std::nullopt;
 }
 
-// What a caller allows at most is two to three times what it gets: planned with, half of the
-// targets would serve nobody.
+// A caller's token limit is two to three times what it uses. If capacity were planned with it, half
+// of the targets would be idle.
 std::uint64_t Dispatcher::ExpectedOutput(const Request& request)
 {
   if (request.call.expectedOutputTokens != 0) {
@@ -90,13 +90,13 @@
   const ServiceDefinition* service = request.index->FindService(request.service);
   const double usual =
     service != nullptr && service->engine ? service->engine->usualOutputTokens : 0;
-  const auto most = request.call.maxOutputTokens;
-  return usual > 0 ? std::min<std::uint64_t>(most, static_cast<std::uint64_t>(usual)) : most;
+  const auto limit = request.call.maxOutputTokens;
+  return usual > 0 ? std::min<std::uint64_t>(limit, static_cast<std::uint64_t>(usual)) : limit;
 }
 
-// A refused caller comes back, and its work would be counted twice: once here and once where it is
-// taken. Each of the two times counts half.
-void Dispatcher::NoteDemand(const Request& request, bool isRefused)
+// A refused caller retries, so its work would be counted twice: once here and once where it is
+// accepted. A refused request therefore counts half.
+void Dispatcher::CountDemand(const Request& request, bool isRefused)
 {
   const std::uint64_t part = isRefused ? 2 : 1;
   DemandRow& row = m_demand[{ request.service, request.model }];
@@ -107,7 +107,7 @@
   row.outputTokens += ExpectedOutput(request) / part;
 }
 
-void Dispatcher::PickService(Request& request)
+void Dispatcher::SelectService(Request& request)
 {
   std::uint64_t total = 0;
   for (const RouteShare& share : request.route->shares) {
--- a/src/gateway/dispatcher_end.cpp
+++ b/src/gateway/dispatcher_end.cpp
@@ -10,12 +10,13 @@
 
 using namespace std::chrono_literals;
 
-/// All targets that fit are busy or were left out a moment ago: places come free within this.
+/// All matching targets are full or temporarily avoided; slots come free within this time.
 constexpr Duration kBusyRetry = 300ms;
-/// None serves the model: forming a group takes a second or more.
+/// No target serves the model; forming a group takes a second or more.
 constexpr Duration kNoTargetRetry = 1s;
 
-/// Seconds with two decimals: a caller with a deadline of a second gains nothing from whole ones.
+/// Seconds with two decimals: whole seconds are too coarse for a caller with a deadline of one
+/// second.
 std::string ToSeconds(Duration duration)
 {
   return ToDecimal(std::chrono::duration<double>(duration).count());
@@ -31,11 +32,11 @@
 
 } // namespace
 
-/// No further attempt is possible or allowed.
+/// Answers the caller when no further attempt is possible or allowed.
 void Dispatcher::GiveUp(TimePoint now, Request& request, Outbox& outbox)
 {
-  if (request.headPassed) {
-    // Closed without the last chunk: the caller sees that the answer is not whole.
+  if (request.headForwarded) {
+    // Closed without the last chunk, so that the caller detects the incomplete answer.
     HttpAnswerOut cut;
     cut.exchange = request.call.exchange;
     cut.abort = true;
@@ -45,15 +46,17 @@
   }
   if (request.mayHaveRun) {
     const unsigned status = now >= request.deadline ? 504 : 502;
-    Refuse(now, request, { status, request.lastTrouble, std::nullopt }, outbox);
+    Refuse(now, request, { status, request.lastError, std::nullopt }, outbox);
     return;
   }
   if (request.attempts == 0) {
-    NoteDemand(request, true);
+    CountDemand(request, true);
   }
-  const NoTarget why = m_board.WhyNone(now, { request.service, request.model, request.tried });
-  const std::string reason = request.lastTrouble.empty() ? ToString(why) : request.lastTrouble;
-  const Duration retryAfter = why == NoTarget::kNone ? kNoTargetRetry : kBusyRetry;
+  const NoTargetReason noTargetReason =
+    m_selector.ReasonForNoTarget(now, { request.service, request.model, request.tried });
+  const std::string reason =
+    request.lastError.empty() ? ToString(noTargetReason) : request.lastError;
+  const Duration retryAfter = noTargetReason == NoTargetReason::kNone ? kNoTargetRetry : kBusyRetry;
   Refuse(now, request, { 503, reason, retryAfter }, outbox);
 }
 
@@ -73,20 +76,21 @@
   answer.bytes = ErrorText(outcome, refusal.reason);
   answer.end = true;
   outbox.emplace_back(std::move(answer));
-  request.lastTrouble = refusal.reason;
+  request.lastError = refusal.reason;
   End(now, request, outcome, refusal.status, outbox);
 }
 
-/// Logs the end and forgets the request, which is void afterwards.
+/// Logs the outcome and erases the request; `request` is invalid afterwards.
 void Dispatcher::End(TimePoint now,
                      Request& request,
                      const char* outcome,
                      unsigned status,
                      Outbox& outbox)
 {
-  const bool hasFirst = request.firstAt != TimePoint{};
-  const Duration firstAfter = hasFirst ? request.firstAt - request.arrived : Duration::zero();
-  const std::int64_t aim = request.route == nullptr ? 0 : ToMillis(request.route->objective);
+  const bool hasFirst = request.firstEventAt != TimePoint{};
+  const Duration firstAfter = hasFirst ? request.firstEventAt - request.arrived : Duration::zero();
+  const std::int64_t objectiveMillis =
+    request.route == nullptr ? 0 : ToMillis(request.route->objective);
   const std::uint64_t version = request.index ? request.index->Document().version : 0;
   outbox.emplace_back(
     MakeEvent(EventNumber::kGatewayAnswered,
@@ -98,16 +102,16 @@
                 { "target", request.target.instance.Get() },
                 { "outcome", outcome },
                 { "status", std::to_string(status) },
-                { "reason", request.lastTrouble },
+                { "reason", request.lastError },
                 { "attempts", std::to_string(request.attempts) },
                 { "millis", std::to_string(ToMillis(now - request.arrived)) },
                 { "firstMillis", std::to_string(ToMillis(firstAfter)) },
-                { "aimMillis", std::to_string(aim) },
+                { "aimMillis", std::to_string(objectiveMillis) },
                 { "promptTokens", std::to_string(request.call.promptTokens) },
                 { "document", std::to_string(version) },
                 { "targets", std::to_string(request.targetsSequence) },
-                { "ageMillis", std::to_string(ToMillis(request.knowledgeAge)) } }));
-  m_line.Remove(request.call.exchange);
+                { "ageMillis", std::to_string(ToMillis(request.snapshotAge)) } }));
+  m_queue.Remove(request.call.exchange);
   m_deadlines.erase({ request.deadline, request.call.exchange });
   m_requests.erase(request.call.exchange);
 }
--- a/src/gateway/event_splitter.cpp
+++ b/src/gateway/event_splitter.cpp
@@ -9,39 +9,39 @@
 
 constexpr std::string_view kIdField = "id:";
 
-/// The end of the first event in `text`; npos when it is not whole.
+/// The end of the first event in `text` at or after `from`; npos when it is incomplete.
 std::size_t EndOfEvent(std::string_view text, std::size_t from)
 {
-  const std::size_t bare = text.find("\n\n", from);
-  const std::size_t withReturn = text.find("\n\r\n", from);
-  if (bare == std::string_view::npos && withReturn == std::string_view::npos) {
+  const std::size_t lf = text.find("\n\n", from);
+  const std::size_t crlf = text.find("\n\r\n", from);
+  if (lf == std::string_view::npos && crlf == std::string_view::npos) {
     return std::string_view::npos;
   }
-  return bare < withReturn ? bare + 2 : withReturn + 3;
+  return lf < crlf ? lf + 2 : crlf + 3;
 }
 
 } // namespace
 
 std::string EventSplitter::Take(std::string_view bytes)
 {
-  m_rest += bytes;
+  m_partial += bytes;
   std::size_t end = 0;
-  for (std::size_t next = EndOfEvent(m_rest, 0); next != std::string_view::npos;
-       next = EndOfEvent(m_rest, end)) {
-    NoteId(std::string_view(m_rest).substr(end, next - end));
+  for (std::size_t next = EndOfEvent(m_partial, 0); next != std::string_view::npos;
+       next = EndOfEvent(m_partial, end)) {
+    UpdateLastId(std::string_view(m_partial).substr(end, next - end));
     end = next;
   }
-  std::string whole = m_rest.substr(0, end);
-  m_rest.erase(0, end);
+  std::string whole = m_partial.substr(0, end);
+  m_partial.erase(0, end);
   return whole;
 }
 
-std::string EventSplitter::TakeRest()
+std::string EventSplitter::TakePartial()
 {
-  return std::exchange(m_rest, std::string());
+  return std::exchange(m_partial, std::string());
 }
 
-void EventSplitter::NoteId(std::string_view event)
+void EventSplitter::UpdateLastId(std::string_view event)
 {
   while (!event.empty()) {
     const std::size_t end = std::min(event.find('\n'), event.size());
--- a/src/gateway/feed_client.cpp
+++ b/src/gateway/feed_client.cpp
@@ -12,20 +12,20 @@
 
 using namespace std::chrono_literals;
 
-/// Control pushes changes at once; a question only heals what was lost with a connection or a
-/// leader.
+/// Control pushes changes at once; queries only recover changes lost with a connection or a change
+/// of the leader.
 constexpr Duration kQueryInterval = 500ms;
-/// A head that fell silent is told at once, several together.
-constexpr Duration kNewsInterval = 100ms;
-/// Stands for "never" in a report of when a head last answered.
-constexpr std::int64_t kLongAgoMillis = 3'600'000;
+/// Missing answers are reported early, but those within this interval together.
+constexpr Duration kNoAnswerReportInterval = 100ms;
+/// Upper limit of the reported time since the last answer; also stands for "never".
+constexpr std::int64_t kMaxAgoMillis = 3'600'000;
 
 } // namespace
 
 FeedClient::FeedClient(std::vector<EntrySettings::Control> controls,
-                       FailureDomainId own,
+                       FailureDomainId ownDomain,
                        DocumentReader readDocument)
-  : m_own(std::move(own))
+  : m_ownDomain(std::move(ownDomain))
   , m_readDocument(std::move(readDocument))
 {
   AddControls(std::move(controls));
@@ -42,37 +42,40 @@
                       const Dispatcher& dispatcher,
                       std::vector<GatewayOutput>& outbox)
 {
-  const bool hasNews = dispatcher.Board().LatestSilence() > m_toldSilence;
-  if (now < m_nextQuery && !(hasNews && now >= m_lastQuery + kNewsInterval)) {
+  const bool hasUnreportedNoAnswer = dispatcher.Selector().LatestNoAnswer() > m_reportedNoAnswer;
+  if (now < m_nextQuery &&
+      !(hasUnreportedNoAnswer && now >= m_lastQuery + kNoAnswerReportInterval)) {
     return;
   }
   m_lastQuery = now;
-  m_toldSilence = dispatcher.Board().LatestSilence();
+  m_reportedNoAnswer = dispatcher.Selector().LatestNoAnswer();
   m_nextQuery = now + kQueryInterval;
   for (const auto& [process, address] : m_controls) {
     wire::ServingQueryT query = MakeQuery();
-    // Views of dozens of heads told to all would be most of what entries send, and only the leader
-    // decides by them.
+    // Only the leader uses the observations. Sent to all control processes, those of dozens of
+    // heads would be most of an entry's traffic to control.
     if (process == m_leader) {
-      AddViews(now, dispatcher, query);
+      AddObservations(now, dispatcher, query);
     }
     outbox.emplace_back(FrameOut{ process, address, MakeEnvelope(std::move(query)) });
   }
-  m_lacksBase = false;
+  m_missedChange = false;
 }
 
 wire::ServingQueryT FeedClient::MakeQuery() const
 {
   wire::ServingQueryT query;
-  query.haveDocument = m_knowledge.index ? m_knowledge.index->Document().version : 0;
+  query.haveDocument = m_snapshot.index ? m_snapshot.index->Document().version : 0;
   query.haveTerm = m_term;
-  query.haveTargets = m_knowledge.targetsSequence;
-  query.failureDomain = m_own.Get();
-  query.sendAgain = m_lacksBase;
+  query.haveTargets = m_snapshot.targetsSequence;
+  query.failureDomain = m_ownDomain.Get();
+  query.sendAgain = m_missedChange;
   return query;
 }
 
-void FeedClient::AddViews(TimePoint now, const Dispatcher& dispatcher, wire::ServingQueryT& query)
+void FeedClient::AddObservations(TimePoint now,
+                                 const Dispatcher& dispatcher,
+                                 wire::ServingQueryT& query)
 {
   for (const DemandRow& row : dispatcher.Demand()) {
     auto demand = std::make_unique<wire::ModelDemandT>();
@@ -83,18 +86,18 @@
     demand->outputTokens = row.outputTokens;
     query.demand.push_back(std::move(demand));
   }
-  for (const auto& [instance, row] : dispatcher.Board().Rows()) {
-    const bool hasNews = row.answeredAt != TimePoint{} || row.silentAt != TimePoint{};
-    if (row.target.servedModel.empty() || !hasNews) {
+  for (const auto& [instance, row] : dispatcher.Selector().Rows()) {
+    const bool hasObservations = row.answeredAt != TimePoint{} || row.noAnswerAt != TimePoint{};
+    if (row.target.servedModel.empty() || !hasObservations) {
       continue;
     }
     auto head = std::make_unique<wire::HeadViewT>();
     head->instance = instance.Get();
     head->inFlight = row.inFlight;
     head->answeredAgoMillis = static_cast<std::uint32_t>(
-      std::min<std::int64_t>(ToMillis(now - row.answeredAt), kLongAgoMillis));
-    head->failing = row.silentAt > row.answeredAt;
-    head->stepMillis = static_cast<std::uint32_t>(ToMillis(row.pace.Step(now)));
+      std::min<std::int64_t>(ToMillis(now - row.answeredAt), kMaxAgoMillis));
+    head->failing = row.noAnswerAt > row.answeredAt;
+    head->stepMillis = static_cast<std::uint32_t>(ToMillis(row.stepTime.Estimate(now)));
     query.heads.push_back(std::move(head));
   }
 }
@@ -108,30 +111,30 @@
   for (const auto& control : state.controls) {
     m_controls[ProcessId(control->process)] = control->address;
   }
-  // What a deposed leader sent last may arrive after its successor's first word.
+  // The last state of a deposed leader may arrive after the first one of its successor.
   if (!state.leader || state.term < m_term) {
     return;
   }
-  m_knowledge.heardAt = now;
+  m_snapshot.confirmedAt = now;
   dispatcher.Retries().SetEntries(state.entries);
-  dispatcher.Board().SetEntries(state.entries);
+  dispatcher.Selector().SetEntries(state.entries);
   for (const auto& part : state.parts) {
-    dispatcher.Board().SetPart(part->model, part->part);
+    dispatcher.Selector().SetCallerFraction(part->model, part->part);
   }
   if (!state.shares.empty()) {
     std::map<InstanceId, double> shares;
     for (const auto& share : state.shares) {
       shares.emplace(share->instance, share->share);
     }
-    dispatcher.Board().SetShares(std::move(shares));
+    dispatcher.Selector().SetShares(std::move(shares));
   }
   if (m_leader != peer) {
-    // It knows nothing yet of this entry's callers.
+    // The new leader has no demand or observations of this entry yet.
     m_leader = peer;
     m_nextQuery = now;
   }
-  TakeDocument(peer, state, outbox);
-  if (!TakeTargets(now, state, dispatcher, outbox)) {
+  ApplyDocument(peer, state, outbox);
+  if (!ApplyTargets(now, state, dispatcher, outbox)) {
     return;
   }
   outbox.emplace_back(MakeEvent(EventNumber::kGatewayTargets,
@@ -141,28 +144,28 @@
                                   { "base", std::to_string(state.targetsBase) },
                                   { "told", std::to_string(state.targets.size()) },
                                   { "gone", std::to_string(state.goneTargets.size()) },
-                                  { "targets", std::to_string(dispatcher.Board().Listed()) } }));
+                                  { "targets", std::to_string(dispatcher.Selector().Listed()) } }));
 }
 
-// A change holds all that differs between its base and its sequence, so it may be taken over by an
-// entry that has any sequence from the base on. One that has less would miss what lies between.
-bool FeedClient::TakeTargets(TimePoint now,
-                             const wire::ServingStateT& state,
-                             Dispatcher& dispatcher,
-                             std::vector<GatewayOutput>& outbox)
+// A change contains all differences between its base and its sequence, so it applies to every
+// version from the base on. An entry with an older version would miss the changes in between.
+bool FeedClient::ApplyTargets(TimePoint now,
+                              const wire::ServingStateT& state,
+                              Dispatcher& dispatcher,
+                              std::vector<GatewayOutput>& outbox)
 {
   const bool isSameTerm = state.term == m_term;
-  const std::uint64_t held = m_knowledge.targetsSequence;
+  const std::uint64_t held = m_snapshot.targetsSequence;
   if (state.targetsSequence == 0 || (isSameTerm && state.targetsSequence <= held)) {
     return false;
   }
   if (!state.wholeTargets && (!isSameTerm || state.targetsBase > held)) {
-    m_lacksBase = true;
+    m_missedChange = true;
     m_nextQuery = now;
     return false;
   }
   m_term = state.term;
-  m_knowledge.targetsSequence = state.targetsSequence;
+  m_snapshot.targetsSequence = state.targetsSequence;
   std::vector<ServedTarget> targets;
   for (const auto& target : state.targets) {
     targets.push_back(FromWire(*target));
@@ -179,11 +182,11 @@
   return true;
 }
 
-void FeedClient::TakeDocument(const ProcessId& peer,
-                              const wire::ServingStateT& state,
-                              std::vector<GatewayOutput>& outbox)
+void FeedClient::ApplyDocument(const ProcessId& peer,
+                               const wire::ServingStateT& state,
+                               std::vector<GatewayOutput>& outbox)
 {
-  const std::uint64_t held = m_knowledge.index ? m_knowledge.index->Document().version : 0;
+  const std::uint64_t held = m_snapshot.index ? m_snapshot.index->Document().version : 0;
   if (state.documentVersion <= held) {
     return;
   }
@@ -194,7 +197,7 @@
                 { { "control", peer.Get() }, { "description", ToString(document.error()) } }));
     return;
   }
-  m_knowledge.index = std::make_shared<const RouteIndex>(std::move(document).value());
+  m_snapshot.index = std::make_shared<const RouteIndex>(std::move(document).value());
   outbox.emplace_back(MakeEvent(EventNumber::kGatewayDocument,
                                 { { "control", peer.Get() },
                                   { "version", std::to_string(state.documentVersion) },
--- a/src/gateway/gateway_role.cpp
+++ b/src/gateway/gateway_role.cpp
@@ -12,10 +12,10 @@
 
 using namespace std::chrono_literals;
 
-/// A balancer asks once a second and takes a process out after two misses; until then it sends
-/// callers, and they are served.
-constexpr Duration kNoticeTime = 2500ms;
-/// The caller's next connection reaches another entry.
+/// A load balancer probes once a second and removes a process after two failed probes. Until then
+/// it sends callers, which are still served.
+constexpr Duration kDrainTime = 2500ms;
+/// The caller can retry soon, since its next connection reaches another entry.
 constexpr Duration kStoppingRetry = 50ms;
 
 } // namespace
@@ -30,49 +30,49 @@
 
   using Outbox = std::vector<GatewayOutput>;
 
-  void Take(TimePoint, const PeerUp&, Outbox&) { feed.OnPeerUp(); }
-  void Take(TimePoint, const PeerDown&, Outbox&) {}
-  void Take(TimePoint now, const FrameIn& input, Outbox& outbox)
+  void Handle(TimePoint, const PeerUp&, Outbox&) { feed.OnPeerUp(); }
+  void Handle(TimePoint, const PeerDown&, Outbox&) {}
+  void Handle(TimePoint now, const FrameIn& input, Outbox& outbox)
   {
     if (const wire::ServingStateT* state = input.envelope->body.AsServingState()) {
       feed.OnState(now, input.peer, *state, dispatcher, outbox);
     }
   }
-  void Take(TimePoint now, const HttpRequestIn& input, Outbox& outbox)
+  void Handle(TimePoint now, const HttpRequestIn& input, Outbox& outbox)
   {
-    // What is begun now might not end before the process is killed.
+    // A request accepted now might not finish before the process is killed.
     if (stopped) {
       dispatcher.Refuse(now, input, "this entry stops", kStoppingRetry, outbox);
       return;
     }
-    dispatcher.OnRequest(now, input, feed.Knowledge(), outbox);
+    dispatcher.OnRequest(now, input, feed.Snapshot(), outbox);
   }
-  void Take(TimePoint now, const HttpCallerGone& input, Outbox& outbox)
+  void Handle(TimePoint now, const HttpCallerGone& input, Outbox& outbox)
   {
     dispatcher.OnCallerGone(now, input.exchange, outbox);
   }
-  void Take(TimePoint now, const TargetAnswerIn& input, Outbox& outbox)
+  void Handle(TimePoint now, const TargetAnswerIn& input, Outbox& outbox)
   {
     dispatcher.OnAnswer(now, input, outbox);
   }
-  void Take(TimePoint now, const TargetFailedIn& input, Outbox& outbox)
+  void Handle(TimePoint now, const TargetFailedIn& input, Outbox& outbox)
   {
     dispatcher.OnFailed(now, input, outbox);
   }
-  void Take(TimePoint now, const StopRequested&, Outbox& outbox)
+  void Handle(TimePoint now, const StopRequested&, Outbox& outbox)
   {
     stopSince = now;
     outbox.emplace_back(MakeEvent(EventNumber::kProcessStopping,
                                   { { "inFlight", std::to_string(dispatcher.InFlight()) } }));
   }
 
-  void TellReadiness(Outbox& outbox)
+  void ReportReadiness(Outbox& outbox)
   {
     const bool ready = IsReady();
-    if (ready == toldReady) {
+    if (ready == reportedReady) {
       return;
     }
-    toldReady = ready;
+    reportedReady = ready;
     const char* reason = stopSince ? "stopping" : "document and targets are known";
     outbox.emplace_back(MakeEvent(EventNumber::kGatewayReadiness,
                                   { { "ready", ready ? "yes" : "no" }, { "reason", reason } }));
@@ -80,7 +80,7 @@
 
   void FinishStopping(TimePoint now, Outbox& outbox)
   {
-    if (stopSince && !stopped && now - *stopSince >= kNoticeTime) {
+    if (stopSince && !stopped && now - *stopSince >= kDrainTime) {
       stopped = true;
       outbox.emplace_back(StoppedOut{});
     }
@@ -92,7 +92,7 @@
   FeedClient feed;
   std::optional<TimePoint> stopSince;
   bool stopped = false;
-  bool toldReady = false;
+  bool reportedReady = false;
 };
 
 GatewayRole::GatewayRole(GatewaySettings settings, const RoleHooks& hooks, const GatewayApi& api)
@@ -107,11 +107,11 @@
                        std::vector<GatewayOutput>& outbox)
 {
   for (const GatewayInput& input : inbox) {
-    std::visit([&](const auto& value) { m_impl->Take(now, value, outbox); }, input);
+    std::visit([&](const auto& value) { m_impl->Handle(now, value, outbox); }, input);
   }
   m_impl->dispatcher.Tick(now, outbox);
   m_impl->feed.Tick(now, m_impl->dispatcher, outbox);
-  m_impl->TellReadiness(outbox);
+  m_impl->ReportReadiness(outbox);
   m_impl->FinishStopping(now, outbox);
 }
 
--- a/src/gateway/target_board.cpp
+++ b/src/gateway/target_board.cpp
@@ -10,29 +10,32 @@
 
 using namespace std::chrono_literals;
 
-/// The first trouble in a row; doubled by each further one up to the longest.
-constexpr Duration kAvoidFirst = 250ms;
-constexpr Duration kAvoidLongest = 4s;
+/// How long a target is avoided after a failure; doubles with each consecutive one up to the
+/// maximum.
+constexpr Duration kAvoidInitial = 250ms;
+constexpr Duration kAvoidMax = 4s;
 constexpr std::uint32_t kMaxDoublings = 4;
-/// Arrivals scatter over the entries, so that not all use their part at a time; an eighth more than
-/// the slots keeps a head full. Means of 60 played days with 0.88, 1.0, 1.12 and 1.2 on two sites:
-/// 0.542, 0.560, 0.576, 0.565 of the worth owed.
+/// The entries' limits at a head add up to this many times its slots. Arrivals vary between the
+/// entries, so that they do not all use their limit at the same time; about an eighth more than the
+/// slots keeps a head full. Means of 60 test days on two sites with 0.88, 1.0, 1.12 and 1.2:
+/// 0.542, 0.560, 0.576 and 0.565 of the value owed.
 constexpr double kHeadFill = 1.12;
-constexpr std::uint32_t kLeastRoom = 2;  ///< Where the heads aren't divided.
-constexpr std::uint32_t kLeastShare = 1; ///< At a head in this entry's share.
-/// When its own places are taken an entry uses so many of other entries', in parts of its own:
-/// callers move between entries faster than the heads are divided anew.
-constexpr double kLentPart = 0.25;
-/// A head that just opened is filled over this long, about the time that its requests take. All
-/// entries see it empty at one moment: filled at once, it reads dozens of prompts one after the
-/// other, and their callers and the next wait for it.
+constexpr std::uint32_t kMinCapacity = 2;       ///< Per head while none is assigned to this entry.
+constexpr std::uint32_t kMinSharedCapacity = 1; ///< Per head that is assigned to this entry.
+/// Slots that an entry may borrow at other entries' heads when its own are taken, as a fraction of
+/// its own. Callers move between entries faster than the heads are reassigned.
+constexpr double kBorrowFraction = 0.25;
+/// Duration of the slow start of a head that has just opened, about as long as its requests take.
+/// All entries see it empty at the same time. If they filled it at once, it would read dozens of
+/// prompts one after the other, and their callers and the next ones would wait.
 constexpr Duration kSlowStart = 2s;
-/// Of its room, at first.
-constexpr double kSlowStartLeast = 0.1;
-/// A target whose steps take this many times as long as the shortest ones of its kind is slow. A
-/// full head that reads long prompts takes up to 2.5 times as long as one that only writes.
-constexpr double kSoundPace = 2.5;
-/// Services that state no number of slots.
+/// Fraction of the capacity at the beginning of the slow start.
+constexpr double kSlowStartMin = 0.1;
+/// A target is slow if its steps take more than this many times as long as those of the fastest
+/// usable target. A full head that reads long prompts takes up to 2.5 times as long as one that
+/// only writes.
+constexpr double kSlowStepRatio = 2.5;
+/// For targets that state no number of slots.
 constexpr std::uint32_t kDefaultSlots = 8;
 
 std::uint32_t SlotsOf(const ServedTarget& target)
@@ -40,62 +43,62 @@
   return target.slots == 0 ? kDefaultSlots : target.slots;
 }
 
-/// What an entry may have in flight at a head of which it may use the part.
-std::uint32_t PlacesOf(std::uint32_t slots, double part, std::uint32_t least)
+/// How many requests an entry may have in flight at a head of whose slots it may use `fraction`.
+std::uint32_t SlotLimit(std::uint32_t slots, double fraction, std::uint32_t minimum)
 {
-  return std::max(least, static_cast<std::uint32_t>(std::lround(kHeadFill * slots * part)));
+  return std::max(minimum, static_cast<std::uint32_t>(std::lround(kHeadFill * slots * fraction)));
 }
 
 } // namespace
 
-const char* ToString(NoTarget reason) noexcept
+const char* ToString(NoTargetReason reason) noexcept
 {
   switch (reason) {
-    case NoTarget::kNone:
+    case NoTargetReason::kNone:
       return "no target serves it";
-    case NoTarget::kFull:
+    case NoTargetReason::kFull:
       return "all targets are full";
-    case NoTarget::kSilent:
+    case NoTargetReason::kSilent:
       return "targets with room are silent";
-    case NoTarget::kOutOfReach:
+    case NoTargetReason::kUnreachable:
       return "targets with room are out of reach";
   }
   return "unknown";
 }
 
-TargetBoard::TargetBoard(FailureDomainId own, std::function<std::uint64_t()> random)
-  : m_own(std::move(own))
+TargetSelector::TargetSelector(FailureDomainId ownDomain, std::function<std::uint64_t()> random)
+  : m_ownDomain(std::move(ownDomain))
   , m_random(std::move(random))
 {
 }
 
-std::vector<InstanceId> TargetBoard::Replace(std::span<const ServedTarget> targets)
+std::vector<InstanceId> TargetSelector::Replace(std::span<const ServedTarget> targets)
 {
   for (auto& [instance, row] : m_rows) {
     row.gone = true;
   }
-  // Which of them opened lately isn't known.
-  return TakeOverAll(TimePoint{}, targets);
+  // It is unknown which of them opened recently.
+  return ApplyUpdates(TimePoint{}, targets);
 }
 
-std::vector<InstanceId> TargetBoard::Change(TimePoint now,
-                                            std::span<const ServedTarget> changed,
-                                            std::span<const InstanceId> gone)
+std::vector<InstanceId> TargetSelector::Change(TimePoint now,
+                                               std::span<const ServedTarget> changed,
+                                               std::span<const InstanceId> gone)
 {
   for (const InstanceId& instance : gone) {
     if (const auto found = m_rows.find(instance); found != m_rows.end()) {
       found->second.gone = true;
     }
   }
-  return TakeOverAll(now, changed);
+  return ApplyUpdates(now, changed);
 }
 
-std::vector<InstanceId> TargetBoard::TakeOverAll(TimePoint openedAt,
-                                                 std::span<const ServedTarget> targets)
+std::vector<InstanceId> TargetSelector::ApplyUpdates(TimePoint openedAt,
+                                                     std::span<const ServedTarget> targets)
 {
   std::vector<InstanceId> restarted;
   for (const ServedTarget& target : targets) {
-    if (TakeOver(openedAt, target)) {
+    if (ApplyUpdate(openedAt, target)) {
       restarted.push_back(target.instance);
     }
   }
@@ -103,12 +106,12 @@
   return restarted;
 }
 
-bool TargetBoard::TakeOver(TimePoint openedAt, const ServedTarget& target)
+bool TargetSelector::ApplyUpdate(TimePoint openedAt, const ServedTarget& target)
 {
   Row& row = m_rows[target.instance];
-  const bool isReborn = target.born > row.target.born && !row.target.instance.IsNone();
-  if (isReborn) {
-    // Its work in flight, troubles and pace were the former life's.
+  const bool hasRestarted = target.born > row.target.born && !row.target.instance.IsNone();
+  if (hasRestarted) {
+    // Its requests in flight, failures and step time belong to the instance before the restart.
     row = Row{};
   }
   if (row.target.servedModel != target.servedModel) {
@@ -116,236 +119,246 @@
   }
   row.target = target;
   row.gone = false;
-  return isReborn;
+  return hasRestarted;
 }
 
-void TargetBoard::DropGone()
+void TargetSelector::DropGone()
 {
   for (auto& [instance, row] : m_rows) {
     if (row.gone) {
-      row.target.servedModel.clear(); // What it has in flight ends there, at its own time.
+      row.target.servedModel.clear(); // Gets no new requests; those in flight run to their end.
     }
   }
   std::erase_if(m_rows,
                 [](const auto& row) { return row.second.gone && row.second.inFlight == 0; });
 }
 
-std::size_t TargetBoard::Listed() const
+std::size_t TargetSelector::Listed() const
 {
   return static_cast<std::size_t>(
     std::ranges::count_if(m_rows, [](const auto& row) { return !row.second.gone; }));
 }
 
-TargetBoard::Row* TargetBoard::FindRow(const TargetLife& life)
+TargetSelector::Row* TargetSelector::FindRow(const TargetLife& life)
 {
   const auto found = m_rows.find(life.instance);
   const bool isPresent = found != m_rows.end() && found->second.target.born == life.born;
   return isPresent ? &found->second : nullptr;
 }
 
-TargetBoard::Own TargetBoard::OwnOf(const TargetWish& wish) const
+TargetSelector::ShareState TargetSelector::ShareStateOf(const TargetQuery& query) const
 {
-  Own own;
-  if (wish.model.empty()) {
-    return own; // Plain services have no heads.
+  ShareState shareState;
+  if (query.model.empty()) {
+    return shareState; // Plain services have no heads.
   }
-  std::uint32_t places = 0;
-  std::uint32_t lentNow = 0;
+  std::uint32_t ownCapacity = 0;
+  std::uint32_t borrowedNow = 0;
   std::uint32_t slots = 0;
   for (const auto& [instance, row] : m_rows) {
-    if (!Fits(row, wish)) {
+    if (!Fits(row, query)) {
       continue;
     }
     slots += SlotsOf(row.target);
     if (const auto share = m_shares.find(instance); share != m_shares.end()) {
-      own.isDivided = true;
-      places += PlacesOf(SlotsOf(row.target), share->second, kLeastShare);
+      shareState.isDivided = true;
+      ownCapacity += SlotLimit(SlotsOf(row.target), share->second, kMinSharedCapacity);
     } else {
-      lentNow += row.inFlight;
+      borrowedNow += row.inFlight;
     }
   }
-  // Heads of its share may be gone since control told it.
-  const double missing = kHeadFill * slots * PartOf(wish.model) - places;
-  const auto most = static_cast<std::uint32_t>(std::lround(std::max(kLentPart * places, missing)));
-  own.lent = most > lentNow ? most - lentNow : 0;
-  return own;
+  // Assigned heads may have been removed since control sent the shares.
+  const double missing = kHeadFill * slots * CallerFraction(query.model) - ownCapacity;
+  const auto borrowLimit =
+    static_cast<std::uint32_t>(std::lround(std::max(kBorrowFraction * ownCapacity, missing)));
+  shareState.borrowable = borrowLimit > borrowedNow ? borrowLimit - borrowedNow : 0;
+  return shareState;
 }
 
-double TargetBoard::PartOf(std::string_view model) const
+double TargetSelector::CallerFraction(std::string_view model) const
 {
-  const auto told = m_parts.find(model);
-  return told == m_parts.end() ? 1.0 / m_entries : told->second;
+  const auto found = m_callerFractions.find(model);
+  return found == m_callerFractions.end() ? 1.0 / m_entries : found->second;
 }
 
-bool TargetBoard::IsLent(const ServedTarget& target, const Own& own) const
+bool TargetSelector::IsBorrowed(const ServedTarget& target, const ShareState& shareState) const
 {
-  return own.isDivided && !m_shares.contains(target.instance);
+  return shareState.isDivided && !m_shares.contains(target.instance);
 }
 
-// Beyond its slots a head only queues: the callers of a full head then wait for seconds, and most
-// of them in vain. Each entry sends a head no more than its part of the slots. Where control didn't
-// divide the heads yet, that is an even part of each.
-std::uint32_t TargetBoard::RoomOf(const ServedTarget& target, const Own& own) const
+// A head queues requests beyond its slots. Their callers wait for seconds, most of them without
+// getting an answer in time, so each entry uses only its part of a head's slots. Until control has
+// assigned the heads, that part follows the fraction of callers that use this entry.
+std::uint32_t TargetSelector::CapacityOf(const ServedTarget& target,
+                                         const ShareState& shareState) const
 {
   const std::uint32_t slots = SlotsOf(target);
   if (target.servedModel.empty()) {
     return slots;
   }
-  if (IsLent(target, own)) {
-    return own.lent > 0 ? 1 : 0;
+  if (IsBorrowed(target, shareState)) {
+    return shareState.borrowable > 0 ? 1 : 0;
   }
   const auto share = m_shares.find(target.instance);
   if (share != m_shares.end()) {
-    return PlacesOf(slots, share->second, kLeastShare);
+    return SlotLimit(slots, share->second, kMinSharedCapacity);
   }
-  return PlacesOf(slots, PartOf(target.servedModel), kLeastRoom);
+  return SlotLimit(slots, CallerFraction(target.servedModel), kMinCapacity);
 }
 
-bool TargetBoard::IsSilent(TimePoint now, const Row& row, Duration limit)
+bool TargetSelector::IsSilent(TimePoint now, const Row& row, Duration limit)
 {
   const bool isHead = !row.target.servedModel.empty();
   return isHead && row.inFlight > 0 && now - std::max(row.busySince, row.answeredAt) > limit;
 }
 
-bool TargetBoard::Fits(const Row& row, const TargetWish& wish)
+bool TargetSelector::Fits(const Row& row, const TargetQuery& query)
 {
-  return !row.gone && !row.target.leaving && row.target.service == wish.service &&
-         row.target.servedModel == wish.model;
+  return !row.gone && !row.target.leaving && row.target.service == query.service &&
+         row.target.servedModel == query.model;
 }
 
-double TargetBoard::Filled(TimePoint now, const Row& row)
+double TargetSelector::WarmUpFraction(TimePoint now, const Row& row)
 {
   if (row.openedAt == TimePoint{}) {
     return 1;
   }
   const double age = std::chrono::duration<double>(now - row.openedAt) / kSlowStart;
-  return std::clamp(age, kSlowStartLeast, 1.0);
+  return std::clamp(age, kSlowStartMin, 1.0);
 }
 
-// Two targets of one load differ by how long they take for a step. Below kSoundPace that is the
-// scatter of prompts; above, one of them is slow, and each request there is late for certain.
-double TargetBoard::CostOf(TimePoint now, const Row& row, Duration usualStep, const Own& own) const
+// Step times that differ by less than kSlowStepRatio only reflect the variation of prompts. A
+// target above it is slow, and every request sent there is late.
+double TargetSelector::CostOf(TimePoint now,
+                              const Row& row,
+                              Duration fastestStep,
+                              const ShareState& shareState) const
 {
-  const double room = RoomOf(row.target, own) * Filled(now, row);
-  const double load = static_cast<double>(row.inFlight + 1) / room;
-  const Duration step = row.pace.Step(now);
-  const double ratio = usualStep > Duration::zero() ? static_cast<double>(step.count()) /
-                                                        static_cast<double>(usualStep.count())
-                                                    : 1;
-  return load * std::max(1.0, ratio / kSoundPace);
+  const double capacity = CapacityOf(row.target, shareState) * WarmUpFraction(now, row);
+  const double load = static_cast<double>(row.inFlight + 1) / capacity;
+  const Duration step = row.stepTime.Estimate(now);
+  const double ratio = fastestStep > Duration::zero() ? static_cast<double>(step.count()) /
+                                                          static_cast<double>(fastestStep.count())
+                                                      : 1;
+  return load * std::max(1.0, ratio / kSlowStepRatio);
 }
 
-std::vector<const TargetBoard::Row*> TargetBoard::ListUsable(TimePoint now,
-                                                             const TargetWish& wish,
-                                                             const Own& own) const
+std::vector<const TargetSelector::Row*> TargetSelector::ListUsable(
+  TimePoint now,
+  const TargetQuery& query,
+  const ShareState& shareState) const
 {
   std::vector<const Row*> usable;
   for (const auto& [instance, row] : m_rows) {
-    if (Fits(row, wish) && now >= row.outOfReachUntil && row.inFlight < RoomOf(row.target, own) &&
-        !wish.tried.contains(instance) && !IsSilent(now, row, kSuspect)) {
+    if (Fits(row, query) && now >= row.unreachableUntil &&
+        row.inFlight < CapacityOf(row.target, shareState) && !query.tried.contains(instance) &&
+        !IsSilent(now, row, kSuspectAfter)) {
       usable.push_back(&row);
     }
   }
-  const bool someAreSound =
+  const bool anyNotAvoided =
     std::ranges::any_of(usable, [&](const Row* row) { return !IsAvoided(now, *row); });
-  if (someAreSound) {
+  if (anyNotAvoided) {
     std::erase_if(usable, [&](const Row* row) { return IsAvoided(now, *row); });
   }
-  const bool someAreOwn =
-    std::ranges::any_of(usable, [&](const Row* row) { return !IsLent(row->target, own); });
-  if (someAreOwn) {
-    std::erase_if(usable, [&](const Row* row) { return IsLent(row->target, own); });
+  const bool anyInShare = std::ranges::any_of(
+    usable, [&](const Row* row) { return !IsBorrowed(row->target, shareState); });
+  if (anyInShare) {
+    std::erase_if(usable, [&](const Row* row) { return IsBorrowed(row->target, shareState); });
   }
   return usable;
 }
 
-// One answer that was lost says little of a head that goes on with dozens of others. Left out for
-// it, the few heads of a model refused 3 to 6 in 100 of all callers on days with lost answers while
-// they had room; so a head that was avoided is used where no other has room.
-bool TargetBoard::IsAvoided(TimePoint now, const Row& row)
+// A single lost answer says little about a head that continues with dozens of others. When avoided
+// heads got no requests at all, the few heads of a model refused 3% to 6% of all callers on days
+// with lost answers although they had capacity. So an avoided head is used when no other has
+// capacity.
+bool TargetSelector::IsAvoided(TimePoint now, const Row& row)
 {
   return now < row.avoidUntil;
 }
 
-const ServedTarget* TargetBoard::Choose(TimePoint now, const TargetWish& wish)
+const ServedTarget* TargetSelector::Choose(TimePoint now, const TargetQuery& query)
 {
-  const Own own = OwnOf(wish);
-  const std::vector<const Row*> usable = ListUsable(now, wish, own);
-  Duration usualStep{};
+  const ShareState shareState = ShareStateOf(query);
+  const std::vector<const Row*> usable = ListUsable(now, query, shareState);
+  Duration fastestStep{};
   for (const Row* row : usable) {
-    const Duration step = row->pace.Step(now);
-    const bool isShorter = usualStep == Duration::zero() || step < usualStep;
-    usualStep = step > Duration::zero() && isShorter ? step : usualStep;
+    const Duration step = row->stepTime.Estimate(now);
+    const bool isShorter = fastestStep == Duration::zero() || step < fastestStep;
+    fastestStep = step > Duration::zero() && isShorter ? step : fastestStep;
   }
   const Row* best = nullptr;
   std::pair<double, bool> bestRank;
-  std::uint64_t equals = 0;
+  std::uint64_t ties = 0;
   for (const Row* row : usable) {
-    const std::pair rank(CostOf(now, *row, usualStep, own), row->target.failureDomain != m_own);
+    const std::pair rank(CostOf(now, *row, fastestStep, shareState),
+                         row->target.failureDomain != m_ownDomain);
     if (best == nullptr || rank < bestRank) {
       best = row;
       bestRank = rank;
-      equals = 1;
-    } else if (rank == bestRank && m_random() % ++equals == 0) {
-      // Entries that all took the first of equals would send their work to one target.
+      ties = 1;
+    } else if (rank == bestRank && m_random() % ++ties == 0) {
+      // If every entry took the first of several equal targets, all would send to the same one.
       best = row;
     }
   }
   return best == nullptr ? nullptr : &best->target;
 }
 
-// The first reason that holds for all: one head with room that nobody reaches tells more than the
-// others being full.
-NoTarget TargetBoard::WhyNone(TimePoint now, const TargetWish& wish) const
+// kFull is returned only if no target has capacity: a target that has capacity but cannot be used
+// is the more useful reason.
+NoTargetReason TargetSelector::ReasonForNoTarget(TimePoint now, const TargetQuery& query) const
 {
-  if (!HasAny(wish)) {
-    return NoTarget::kNone;
+  if (!HasAny(query)) {
+    return NoTargetReason::kNone;
   }
-  const Own own = OwnOf(wish);
-  const bool someHaveRoom = std::ranges::any_of(m_rows, [&](const auto& each) {
-    return Fits(each.second, wish) && each.second.inFlight < RoomOf(each.second.target, own);
+  const ShareState shareState = ShareStateOf(query);
+  const bool anyHasCapacity = std::ranges::any_of(m_rows, [&](const auto& each) {
+    return Fits(each.second, query) &&
+           each.second.inFlight < CapacityOf(each.second.target, shareState);
   });
-  if (!someHaveRoom) {
-    return NoTarget::kFull;
+  if (!anyHasCapacity) {
+    return NoTargetReason::kFull;
   }
-  const bool someStandStill = std::ranges::any_of(m_rows, [&](const auto& each) {
-    return Fits(each.second, wish) && IsSilent(now, each.second, kSuspect);
+  const bool anyIsSilent = std::ranges::any_of(m_rows, [&](const auto& each) {
+    return Fits(each.second, query) && IsSilent(now, each.second, kSuspectAfter);
   });
-  return someStandStill ? NoTarget::kSilent : NoTarget::kOutOfReach;
+  return anyIsSilent ? NoTargetReason::kSilent : NoTargetReason::kUnreachable;
 }
 
-bool TargetBoard::HasAny(const TargetWish& wish) const
+bool TargetSelector::HasAny(const TargetQuery& query) const
 {
-  return std::ranges::any_of(m_rows, [&](const auto& row) { return Fits(row.second, wish); });
+  return std::ranges::any_of(m_rows, [&](const auto& row) { return Fits(row.second, query); });
 }
 
-void TargetBoard::OnSent(TimePoint now, const TargetLife& life)
+void TargetSelector::OnSent(TimePoint now, const TargetLife& life)
 {
   Row* row = FindRow(life);
   if (row != nullptr && row->inFlight++ == 0) {
     row->busySince = now;
-    row->pace.OnBusy(now);
+    row->stepTime.OnBusy(now);
   }
 }
 
-void TargetBoard::OnBytes(TimePoint now, const TargetLife& life)
+void TargetSelector::OnBytes(TimePoint now, const TargetLife& life)
 {
   if (Row* row = FindRow(life)) {
     row->answeredAt = now;
     if (!row->target.servedModel.empty()) {
-      row->pace.OnBytes(now);
+      row->stepTime.OnBytes(now);
     }
   }
 }
 
-void TargetBoard::OnAnswerTime(TimePoint now, const TargetLife& life, Duration took)
+void TargetSelector::OnAnswerTime(TimePoint now, const TargetLife& life, Duration took)
 {
   if (Row* row = FindRow(life)) {
-    row->pace.OnAnswer(now, took);
+    row->stepTime.OnAnswer(now, took);
   }
 }
 
-void TargetBoard::OnEnded(const TargetLife& life)
+void TargetSelector::OnEnded(const TargetLife& life)
 {
   Row* row = FindRow(life);
   if (row == nullptr || row->inFlight == 0) {
@@ -356,47 +369,47 @@
   }
 }
 
-void TargetBoard::OnTrouble(TimePoint now, const TargetLife& life)
+void TargetSelector::OnFailure(TimePoint now, const TargetLife& life)
 {
   if (Row* row = FindRow(life)) {
     if (IsAvoided(now, *row)) {
-      return; // What failed together counts once.
+      return; // Simultaneous failures count once.
     }
-    const Duration pause = kAvoidFirst * (1U << std::min(row->failures, kMaxDoublings));
+    const Duration pause = kAvoidInitial * (1U << std::min(row->failures, kMaxDoublings));
     ++row->failures;
-    row->avoidUntil = now + std::min(pause, Duration(kAvoidLongest));
+    row->avoidUntil = now + std::min(pause, Duration(kAvoidMax));
   }
 }
 
-void TargetBoard::OnOutOfReach(TimePoint now, const TargetLife& life)
+void TargetSelector::OnUnreachable(TimePoint now, const TargetLife& life)
 {
-  OnSilence(now, life);
+  OnNoAnswer(now, life);
   if (Row* row = FindRow(life)) {
-    row->outOfReachUntil = row->avoidUntil;
+    row->unreachableUntil = row->avoidUntil;
   }
 }
 
-void TargetBoard::OnSilence(TimePoint now, const TargetLife& life)
+void TargetSelector::OnNoAnswer(TimePoint now, const TargetLife& life)
 {
   if (Row* row = FindRow(life)) {
-    row->silentAt = now;
-    m_latestSilence = now;
+    row->noAnswerAt = now;
+    m_latestNoAnswer = now;
   }
-  OnTrouble(now, life);
+  OnFailure(now, life);
 }
 
-void TargetBoard::OnSuccess(const TargetLife& life)
+void TargetSelector::OnSuccess(const TargetLife& life)
 {
   if (Row* row = FindRow(life)) {
     row->failures = 0;
   }
 }
 
-std::vector<TargetLife> TargetBoard::StalledHeads(TimePoint now) const
+std::vector<TargetLife> TargetSelector::ListStalledHeads(TimePoint now) const
 {
   std::vector<TargetLife> stalled;
   for (const auto& [instance, row] : m_rows) {
-    if (IsSilent(now, row, kStall)) {
+    if (IsSilent(now, row, kStalledAfter)) {
       stalled.push_back({ instance, row.target.born });
     }
   }
--- a/tests/unit/dispatcher_test.cpp
+++ b/tests/unit/dispatcher_test.cpp
@@ -11,7 +11,7 @@
 using ::testing::HasSubstr;
 using ::testing::IsEmpty;
 
-/// An interface with plain headers: Key, Left (milliseconds), Never-Ran, Seal, After.
+/// Hooks with simple headers: Key, Left (milliseconds), Never-Ran, Seal, After.
 GatewayApi PlainApi()
 {
   GatewayApi api;
@@ -89,16 +89,16 @@
     document.services[1].name = "assist";
     document.services[1].engine.emplace();
     document.workspaces = { { "parish", { "secret" }, std::nullopt } };
-    knowledge.index = std::make_shared<const RouteIndex>(document);
-    knowledge.targetsSequence = 1;
-    dispatcher.Board().Replace(std::vector<ServedTarget>{
+    snapshot.index = std::make_shared<const RouteIndex>(document);
+    snapshot.targetsSequence = 1;
+    dispatcher.Selector().Replace(std::vector<ServedTarget>{
       { InstanceId("p1"), "portal", "p1:80", FailureDomainId("a"), 6, false, "" },
       { InstanceId("p2"), "portal", "p2:80", FailureDomainId("b"), 6, false, "" },
       { InstanceId("h1"), "assist", "h1:80", FailureDomainId("a"), 34, false, "large" },
       { InstanceId("h2"), "assist", "h2:80", FailureDomainId("b"), 34, false, "large" } });
   }
 
-  /// A caller's request; its number is the exchange.
+  /// Sends a caller's request. Exchanges are numbered from 1.
   void Ask(const std::string& path, const std::string& key = "secret")
   {
     HttpRequestIn request;
@@ -109,10 +109,10 @@
                         { "X-Request-Id", "r" + std::to_string(m_asked) },
                         { "Key", key },
                         { "Model", "large" } };
-    dispatcher.OnRequest(now, std::move(request), knowledge, outbox);
+    dispatcher.OnRequest(now, std::move(request), snapshot, outbox);
   }
 
-  /// The latest call to a target.
+  /// The latest request that was sent to a target.
   const TargetCallOut& Sent()
   {
     for (auto output = outbox.rbegin(); output != outbox.rend(); ++output) {
@@ -146,7 +146,7 @@
     return answers;
   }
 
-  /// What the caller got, joined.
+  /// The bytes of all answers, concatenated.
   std::string Body() const
   {
     std::string body;
@@ -156,10 +156,10 @@
     return body;
   }
 
-  void Head(unsigned status,
-            std::vector<HttpHeader> headers,
-            std::string bytes = "",
-            bool end = false)
+  void AnswerHead(unsigned status,
+                  std::vector<HttpHeader> headers,
+                  std::string bytes = "",
+                  bool end = false)
   {
     TargetAnswerIn part;
     part.exchange = Sent().exchange;
@@ -170,12 +170,13 @@
     dispatcher.OnAnswer(now, part, outbox);
   }
 
-  void Good(std::string bytes = "whole", bool end = true)
+  void AnswerOk(std::string bytes = "whole", bool end = true)
   {
-    Head(200, { { "X-Request-Id", "r" + std::to_string(m_asked) }, { "Seal", "s" } }, bytes, end);
+    AnswerHead(
+      200, { { "X-Request-Id", "r" + std::to_string(m_asked) }, { "Seal", "s" } }, bytes, end);
   }
 
-  void More(std::string bytes, bool end = false)
+  void AnswerMore(std::string bytes, bool end = false)
   {
     TargetAnswerIn part;
     part.exchange = Sent().exchange;
@@ -193,14 +194,14 @@
     dispatcher.OnFailed(now, failed, outbox);
   }
 
-  void Pass(Duration duration)
+  void AdvanceTime(Duration duration)
   {
     now += duration;
     dispatcher.Tick(now, outbox);
   }
 
   TimePoint now{ 1h };
-  ServingKnowledge knowledge;
+  ServingSnapshot snapshot;
   Dispatcher dispatcher;
   std::vector<GatewayOutput> outbox;
 
@@ -215,12 +216,12 @@
   return answers.empty() ? 0 : answers.back().status.value_or(0);
 }
 
-TEST(Dispatcher, RefusesTruthfullyWhatItCannotServe)
+TEST(Dispatcher, RefusesWithTheExactStatusWhatItCannotServe)
 {
-  SECTION("before any document is known, nothing is said not to exist")
+  SECTION("before a document is known, no route is reported as missing")
   {
     World world;
-    world.knowledge = {};
+    world.snapshot = {};
     world.Ask("/nowhere");
     EXPECT_EQ(LastStatus(world), 503U);
     EXPECT_NE(FindHeader(world.Answers().back().headers, "Retry-After"), "");
@@ -231,7 +232,7 @@
     world.Ask("/nowhere");
     EXPECT_EQ(LastStatus(world), 404U);
   }
-  SECTION("an unknown key, which is told to nobody")
+  SECTION("an unknown key, which is not logged")
   {
     World world;
     world.Ask("/safe/x", "guess");
@@ -247,32 +248,31 @@
   SECTION("no target")
   {
     World world;
-    world.dispatcher.Board().Replace({});
+    world.dispatcher.Selector().Replace({});
     world.Ask("/safe/x");
     EXPECT_EQ(LastStatus(world), 503U);
     EXPECT_THAT(world.Body(), HasSubstr("not-run"));
   }
 }
 
-TEST(Dispatcher, PassesTheWholeAnswerAndTheWorkspaceButNoKey)
+TEST(Dispatcher, ForwardsTheWholeAnswerAndTheWorkspaceButNoKey)
 {
   World world;
   world.Ask("/safe/x");
   EXPECT_EQ(FindHeader(world.Sent().headers, "Workspace"), "parish");
   EXPECT_EQ(FindHeader(world.Sent().headers, "Key"), "");
   EXPECT_EQ(FindHeader(world.Sent().headers, "Left"), "3000");
-  world.Good("all of it");
+  world.AnswerOk("all of it");
   ASSERT_EQ(world.Answers().size(), 1U);
   EXPECT_TRUE(world.Answers()[0].end);
   EXPECT_EQ(world.Body(), "all of it");
 }
 
-// Symptom: a booking was made twice, or a caller was told "not run" of one that ran.
-// Sequence: the connection to the target breaks after the request was sent.
-// Cause: a lost answer was taken for a request that did not run.
-TEST(Dispatcher, WhatMayNotRunTwiceIsSentAgainOnlyWhenItCertainlyDidNotRun)
+// A request whose connection breaks after it was sent may have run. If it were treated as not run,
+// a booking could be made twice, or a caller could receive "not-run" for a request that ran.
+TEST(Dispatcher, AnAtMostOnceRequestIsRetriedOnlyIfItCertainlyDidNotRun)
 {
-  SECTION("lost after sending: unknown")
+  SECTION("connection lost after sending: outcome unknown")
   {
     World world;
     world.Ask("/once/x");
@@ -281,7 +281,7 @@
     EXPECT_EQ(LastStatus(world), 502U);
     EXPECT_THAT(world.Body(), HasSubstr("unknown"));
   }
-  SECTION("no connection: sent elsewhere")
+  SECTION("no connection: retried at another target")
   {
     World world;
     world.Ask("/once/x");
@@ -289,125 +289,123 @@
     world.Fail(true);
     EXPECT_EQ(world.CountSent(), 2U);
     EXPECT_NE(world.Sent().address, first);
-    world.Good();
+    world.AnswerOk();
     EXPECT_EQ(LastStatus(world), 200U);
   }
-  SECTION("refused by every target: a truthful refusal")
+  SECTION("refused by every target: refused as not run")
   {
     World world;
     world.Ask("/once/x");
-    world.Head(503, { { "Never-Ran", "1" } }, "", true);
-    world.Head(503, { { "Never-Ran", "1" } }, "", true);
+    world.AnswerHead(503, { { "Never-Ran", "1" } }, "", true);
+    world.AnswerHead(503, { { "Never-Ran", "1" } }, "", true);
     EXPECT_EQ(LastStatus(world), 503U);
     EXPECT_THAT(world.Body(), HasSubstr("not-run"));
   }
-  SECTION("the target's own failure is passed on, not repeated")
+  SECTION("an error answer of the target is forwarded, not retried")
   {
     World world;
     world.Ask("/once/x");
-    world.Head(500, { { "X-Request-Id", "r1" }, { "Seal", "s" } }, "broken", true);
+    world.AnswerHead(500, { { "X-Request-Id", "r1" }, { "Seal", "s" } }, "broken", true);
     EXPECT_EQ(world.CountSent(), 1U);
     EXPECT_EQ(LastStatus(world), 500U);
   }
-  SECTION("time over while it runs: 504, never 503")
+  SECTION("deadline reached while it runs: 504, never 503")
   {
     World world;
     world.Ask("/once/x");
-    world.Pass(3s);
+    world.AdvanceTime(3s);
     EXPECT_EQ(LastStatus(world), 504U);
     EXPECT_EQ(world.CountCancelled(), 1U);
   }
 }
 
-// Symptom: a caller got another caller's answer.
-// Sequence: a target answers twice; the second answer lies on the connection when the next request
-// is sent on it.
-TEST(Dispatcher, AnAnswerToAnotherRequestIsNotPassedOn)
+// If a target answers twice, the second answer is still on the connection when the next request is
+// sent on it. It must not be forwarded to that request's caller.
+TEST(Dispatcher, AnAnswerToAnotherRequestIsNotForwarded)
 {
   World world;
   world.Ask("/safe/x");
-  world.Head(200, { { "X-Request-Id", "r0" }, { "Seal", "s" } }, "of another", true);
+  world.AnswerHead(200, { { "X-Request-Id", "r0" }, { "Seal", "s" } }, "of another", true);
   EXPECT_THAT(world.Answers(), IsEmpty());
-  world.Good("own");
+  world.AnswerOk("own");
   EXPECT_EQ(world.Body(), "own");
-  SECTION("nor is a success without its seal")
+  SECTION("nor is a successful answer without a seal")
   {
     World other;
     other.Ask("/once/x");
-    other.Head(200, { { "X-Request-Id", "r1" } }, "garbled", true);
+    other.AnswerHead(200, { { "X-Request-Id", "r1" } }, "garbled", true);
     EXPECT_EQ(LastStatus(other), 502U);
   }
 }
 
-// Symptom: a stream has a gap, a double event, or looks whole although it broke off.
-// Sequence: the head of a group dies in the middle of an event.
-TEST(Dispatcher, ABrokenStreamGoesOnAfterItsLastWholeEvent)
+// When the head of a group fails in the middle of an event, the stream must continue without a gap
+// or a repeated event, and must not appear complete if it broke off.
+TEST(Dispatcher, ABrokenStreamResumesAfterItsLastCompleteEvent)
 {
   World world;
   world.Ask("/stream/x");
-  world.Good("id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda", false);
+  world.AnswerOk("id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda", false);
   EXPECT_EQ(world.Body(), "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
   const std::string first = world.Sent().address;
   world.Fail(false);
   EXPECT_NE(world.Sent().address, first);
   EXPECT_EQ(FindHeader(world.Sent().headers, "After"), "2");
-  SECTION("another head finishes it")
+  SECTION("another head completes it")
   {
-    world.Good("id: 3\ndata: c\n\n", true);
+    world.AnswerOk("id: 3\ndata: c\n\n", true);
     EXPECT_EQ(world.Body(), "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n");
     EXPECT_TRUE(world.Answers().back().end);
     EXPECT_FALSE(world.Answers().back().abort);
   }
 }
 
-TEST(Dispatcher, AStreamThatNobodyCanFinishIsCutVisibly)
+TEST(Dispatcher, AStreamThatCannotBeResumedIsAborted)
 {
   World world;
   world.Ask("/stream/x");
-  world.Good("id: 1\ndata: a\n\n", false);
+  world.AnswerOk("id: 1\ndata: a\n\n", false);
   world.Fail(false);
   world.Fail(false);
   EXPECT_TRUE(world.Answers().back().abort);
   EXPECT_FALSE(world.Answers().back().end);
 }
 
-// Symptom: callers of a group with a dead member wait five seconds.
-// Sequence: a member dies; the head accepts requests and nothing moves.
-TEST(Dispatcher, ASilentHeadIsLeft)
+// When a member of a group fails, the head still accepts requests but makes no progress. Its
+// callers would wait for five seconds.
+TEST(Dispatcher, RequestsMoveAwayFromASilentHead)
 {
   World world;
   world.Ask("/stream/x");
-  world.Good("id: 1\ndata: a\n\n", false);
+  world.AnswerOk("id: 1\ndata: a\n\n", false);
   const std::string first = world.Sent().address;
-  SECTION("new work goes elsewhere at once")
+  SECTION("new requests go to another head first")
   {
-    world.Pass(400ms);
+    world.AdvanceTime(400ms);
     world.Ask("/stream/y");
     EXPECT_NE(world.Sent().address, first);
   }
-  SECTION("what it has goes on elsewhere a little later")
+  SECTION("its requests are resumed at another head a little later")
   {
     World other;
     other.Ask("/stream/x");
-    other.Good("id: 1\ndata: a\n\n", false);
+    other.AnswerOk("id: 1\ndata: a\n\n", false);
     const std::string silent = other.Sent().address;
-    other.Pass(650ms);
+    other.AdvanceTime(650ms);
     EXPECT_NE(other.Sent().address, silent);
     EXPECT_EQ(FindHeader(other.Sent().headers, "After"), "1");
   }
 }
 
-/// A head that serves the model `large`, in one of its lives.
+/// A head that serves the model `large`; `born` differs after a restart.
 ServedTarget HeadOf(const std::string& name, std::uint64_t born)
 {
   return { InstanceId(name), "assist",         name + ":80", FailureDomainId("a"), 34, false,
            "large",          Incarnation(born) };
 }
 
-// Symptom: callers are refused while their model's heads have room. Sequence: answers of all heads
-// are lost, one here and one there; each head is left out for a moment. Cause: a failed answer took
-// its head out of use, whatever else the head did.
-TEST(Dispatcher, AFailedAnswerTakesNoHeadOutOfUse)
+// If one failed answer excluded its head, single lost answers at all heads would cause refusals
+// although the heads have capacity.
+TEST(Dispatcher, AFailedAnswerDoesNotExcludeAHead)
 {
   World world;
   const std::vector<ServedTarget> heads = { HeadOf("h1", 0), HeadOf("h2", 0) };
@@ -418,7 +416,7 @@
   world.Ask("/stream/y");
   const std::string asked = world.Sent().address;
   EXPECT_NE(LastStatus(world), 503U);
-  SECTION("one that did not fail goes first")
+  SECTION("a head that did not fail is preferred")
   {
     World other;
     other.dispatcher.OnTargets(other.now, heads, other.outbox);
@@ -430,7 +428,7 @@
       EXPECT_NE(other.Sent().address, failed);
     }
   }
-  SECTION("one that nobody reaches gets nothing")
+  SECTION("an unreachable head gets no requests")
   {
     World other;
     const std::vector<ServedTarget> one = { HeadOf("h1", 0) };
@@ -444,7 +442,7 @@
   }
 }
 
-/// A head of four places, all of which are taken; a place came free each 30 ms lately.
+/// A head with four slots, all in use, at which a slot came free every 30 ms until now.
 class BusyHead
 {
 public:
@@ -458,7 +456,7 @@
     for (int request = 0; request < 40; ++request) {
       world.Ask("/stream/x");
       world.now += 30ms;
-      world.Good("id: 1\ndata: a\n\n", true);
+      world.AnswerOk("id: 1\ndata: a\n\n", true);
     }
     for (int request = 0; request < 4; ++request) {
       world.Ask("/stream/x");
@@ -467,32 +465,32 @@
   }
 
   World world;
-  std::size_t sent = 0; ///< Before any caller had to wait.
+  std::size_t sent = 0; ///< Requests sent before the first one is queued.
 };
 
-// Symptom: callers are refused although a place comes free 30 ms later; they come back after their
-// objective. Sequence: more arrive at one moment than there are places. Cause: nothing waited.
-TEST(Dispatcher, ACallerWhoWillBeInTimeWaitsForTheNextPlace)
+// Without the queue, callers that arrive together are refused although a slot comes free 30 ms
+// later, and they retry only after their objective.
+TEST(Dispatcher, ARequestThatWillMeetItsObjectiveWaitsForTheNextSlot)
 {
-  SECTION("and gets it")
+  SECTION("and gets the slot")
   {
     BusyHead busy;
     busy.world.Ask("/stream/x");
     EXPECT_EQ(busy.world.CountSent(), busy.sent);
     EXPECT_NE(LastStatus(busy.world), 503U);
     busy.world.now += 30ms;
-    busy.world.Fail(false); // Ends one of those that run.
+    busy.world.Fail(false); // Ends one of the running requests.
     EXPECT_GT(busy.world.CountSent(), busy.sent);
   }
-  SECTION("or is refused while it can still come back")
+  SECTION("or is refused while it can still retry")
   {
     BusyHead busy;
     busy.world.Ask("/stream/x");
-    busy.world.Pass(600ms);
+    busy.world.AdvanceTime(600ms);
     EXPECT_EQ(LastStatus(busy.world), 503U);
     EXPECT_NE(FindHeader(busy.world.Answers().back().headers, "Retry-After"), "");
   }
-  SECTION("those who would not be in time are refused at once")
+  SECTION("callers that would not meet the objective are refused at once")
   {
     BusyHead busy;
     for (int request = 0; request < 40 && LastStatus(busy.world) != 503U; ++request) {
@@ -500,7 +498,7 @@
     }
     EXPECT_EQ(LastStatus(busy.world), 503U);
   }
-  SECTION("one who leaves makes room for the next")
+  SECTION("a caller that disconnects is removed from the queue")
   {
     BusyHead busy;
     busy.world.Ask("/stream/x");
@@ -511,68 +509,68 @@
   }
 }
 
-// Symptom: callers of a target that started again wait until its silence shows, and the target is
-// thought full and troubled. Sequence: it crashes with their work and starts under its old name.
-// Cause: what was known of a target was kept by its name alone.
-TEST(Dispatcher, ATargetThatStartedAgainIsAnotherOne)
+// A target that crashes with requests in flight and restarts under its old name has none of them
+// any more. If its state were kept by name alone, it would count as full and failing, and the
+// callers would wait until it is detected as silent.
+TEST(Dispatcher, ARestartedTargetStartsWithoutState)
 {
   World world;
   const std::vector<ServedTarget> before = { HeadOf("h1", 100) };
   const std::vector<ServedTarget> after = { HeadOf("h1", 200), HeadOf("h2", 100) };
   world.dispatcher.OnTargets(world.now, before, world.outbox);
   world.Ask("/stream/x");
-  world.Good("id: 1\ndata: a\n\n", false);
-  SECTION("what it had goes on elsewhere at once")
+  world.AnswerOk("id: 1\ndata: a\n\n", false);
+  SECTION("its requests are resumed at another target at once")
   {
     world.dispatcher.OnTargets(world.now, after, world.outbox);
     EXPECT_EQ(world.Sent().address, "h2:80");
     EXPECT_EQ(FindHeader(world.Sent().headers, "After"), "1");
   }
-  SECTION("its load, its troubles and its silence are forgotten")
+  SECTION("its load and its failures are reset")
   {
     World troubled;
     troubled.dispatcher.OnTargets(troubled.now, before, troubled.outbox);
     troubled.Ask("/stream/x");
     troubled.Fail(false);
-    const TargetBoard& board = troubled.dispatcher.Board();
+    const TargetSelector& board = troubled.dispatcher.Selector();
     EXPECT_GT(board.Rows().at(InstanceId("h1")).avoidUntil, troubled.now);
     troubled.dispatcher.OnTargets(troubled.now, after, troubled.outbox);
     EXPECT_EQ(board.Rows().at(InstanceId("h1")).avoidUntil, TimePoint{});
     EXPECT_EQ(board.Rows().at(InstanceId("h1")).inFlight, 0U);
   }
-  SECTION("an end of the former life's work is not counted for the present one")
+  SECTION("the end of a request from before the restart is ignored")
   {
     World alone;
     alone.dispatcher.OnTargets(alone.now, before, alone.outbox);
     alone.Ask("/stream/x");
     const ExchangeId former = alone.Sent().exchange;
-    const std::vector<ServedTarget> reborn = { HeadOf("h1", 200) };
-    alone.dispatcher.OnTargets(alone.now, reborn, alone.outbox);
+    const std::vector<ServedTarget> restarted = { HeadOf("h1", 200) };
+    alone.dispatcher.OnTargets(alone.now, restarted, alone.outbox);
     alone.Ask("/stream/y");
     TargetFailedIn failed;
     failed.exchange = former;
     alone.dispatcher.OnFailed(alone.now, failed, alone.outbox);
-    const auto& row = alone.dispatcher.Board().Rows().at(InstanceId("h1"));
+    const auto& row = alone.dispatcher.Selector().Rows().at(InstanceId("h1"));
     EXPECT_EQ(row.inFlight, 1U);
     EXPECT_EQ(row.avoidUntil, TimePoint{});
   }
 }
 
-TEST(Dispatcher, WorkOfACallerWhoLeftIsCancelled)
+TEST(Dispatcher, RequestsOfADisconnectedCallerAreCancelled)
 {
   World world;
   world.Ask("/safe/x");
   world.dispatcher.OnCallerGone(world.now, ExchangeId(1), world.outbox);
   EXPECT_EQ(world.CountCancelled(), 1U);
   EXPECT_EQ(world.dispatcher.InFlight(), 0U);
-  world.Good();
+  world.AnswerOk();
   EXPECT_THAT(world.Answers(), IsEmpty());
 }
 
-TEST(Dispatcher, LeavingTargetsGetNothing)
+TEST(Dispatcher, LeavingTargetsGetNoRequests)
 {
   World world;
-  world.dispatcher.Board().Replace(std::vector<ServedTarget>{
+  world.dispatcher.Selector().Replace(std::vector<ServedTarget>{
     { InstanceId("p1"), "portal", "p1:80", FailureDomainId("a"), 6, true, "" },
     { InstanceId("p2"), "portal", "p2:80", FailureDomainId("b"), 6, false, "" } });
   for (int i = 0; i < 6; ++i) {
@@ -581,48 +579,47 @@
   }
 }
 
-// Symptom: a head queues 170 requests for 34 slots, and most callers get nothing within 8 s.
-// Sequence: five entries each fill the head by themselves.
-TEST(Dispatcher, AnEntryUsesOnlyItsPartOfAHead)
+// If each of five entries filled a head by itself, the head would queue 170 requests for 34 slots,
+// and most callers would get no answer within 8 s.
+TEST(Dispatcher, AnEntryUsesOnlyItsFractionOfAHead)
 {
   World world;
-  world.dispatcher.Board().SetEntries(5);
+  world.dispatcher.Selector().SetEntries(5);
   for (int i = 0; i < 40; ++i) {
     world.Ask("/stream/x");
   }
-  EXPECT_EQ(world.CountSent(), 16U); // 1.12 * 34 / 5, rounded, each of two heads.
+  EXPECT_EQ(world.CountSent(), 16U); // 1.12 * 34 / 5, rounded, at each of two heads.
   EXPECT_EQ(LastStatus(world), 503U);
 }
 
-// Symptom: a failure domain with one entry has five times the refusals of the others.
-// Sequence: its entry gets a third of all callers and uses a fifth of each head.
-TEST(Dispatcher, AnEntrysPartOfAHeadFollowsItsCallers)
+// If the only entry of a failure domain gets a third of all callers but uses a fifth of each head,
+// it refuses five times as many requests as the others.
+TEST(Dispatcher, AnEntrysFractionOfAHeadFollowsItsCallers)
 {
   World world;
-  world.dispatcher.Board().SetEntries(5);
-  world.dispatcher.Board().SetPart("large", 0.5);
+  world.dispatcher.Selector().SetEntries(5);
+  world.dispatcher.Selector().SetCallerFraction("large", 0.5);
   for (int i = 0; i < 40; ++i) {
     world.Ask("/stream/x");
   }
-  EXPECT_EQ(world.CountSent(), 38U); // Half of 1.12 * 34, each of two heads.
+  EXPECT_EQ(world.CountSent(), 38U); // Half of 1.12 * 34, at each of two heads.
 }
 
-// Symptom: twice as many groups are wanted for a model as its callers keep busy.
-// Sequence: callers that were refused come back, and each time their work is counted; they allow
-// three times the tokens that they get.
-TEST(Dispatcher, DemandIsWhatCallersWillLikelyUse)
+// Refused callers retry, and callers allow three times the tokens that they use. Counted in full,
+// both would lead to twice as many groups for a model as its callers keep busy.
+TEST(Dispatcher, DemandIsTheExpectedUse)
 {
-  SECTION("what they expect, where they say so")
+  SECTION("the tokens that they expect, if stated")
   {
     World world;
     world.Ask("/stream/x");
     EXPECT_EQ(world.dispatcher.Demand().at(0).promptTokens, 100U);
     EXPECT_EQ(world.dispatcher.Demand().at(0).outputTokens, 50U);
   }
-  SECTION("half of it for one that is refused and will come back")
+  SECTION("half of them for a refused request, which will be retried")
   {
     World world;
-    world.dispatcher.Board().Replace({});
+    world.dispatcher.Selector().Replace({});
     world.Ask("/stream/x");
     EXPECT_EQ(LastStatus(world), 503U);
     EXPECT_EQ(world.dispatcher.Demand().at(0).promptTokens, 50U);
@@ -636,20 +633,20 @@
   allowance.SetEntries(5);
   TimePoint now{ 1h };
   for (int i = 0; i < 100; ++i) {
-    allowance.NoteRequest(now, "portal");
+    allowance.CountRequest(now, "portal");
   }
   int taken = 0;
   for (int i = 0; i < 200; ++i) {
-    now += 90ms; // 18 s: two windows and more.
+    now += 90ms; // 18 s in total: more than one window.
     taken += allowance.TryTake(now, "portal") ? 1 : 0;
   }
   EXPECT_GT(taken, 10);
-  // 0.2 * 100 of this entry's requests and a fifth of 100 beside, in each of two windows.
+  // In each of two windows 0.2 * 100 for this entry's requests, and a fifth of the slack of 100.
   EXPECT_LE(taken, 2 * 40);
   EXPECT_FALSE(RetryAllowance({ 0, 0, 10s }).TryTake(now, "portal"));
 }
 
-TEST(EventSplitter, PassesWholeEventsOnly)
+TEST(EventSplitter, ReturnsCompleteEventsOnly)
 {
   EventSplitter splitter;
   EXPECT_EQ(splitter.Take("id: 1\nda"), "");
@@ -658,7 +655,7 @@
   EXPECT_EQ(splitter.Take("\nid:2\r\ndata: y\r\n\r\nid: 3"),
             "id: 1\ndata: x\n\nid:2\r\ndata: y\r\n\r\n");
   EXPECT_EQ(splitter.LastId(), "2");
-  EXPECT_EQ(splitter.TakeRest(), "id: 3");
+  EXPECT_EQ(splitter.TakePartial(), "id: 3");
 }
 
 } // namespace
--- a/tests/unit/feed_client_test.cpp
+++ b/tests/unit/feed_client_test.cpp
@@ -20,7 +20,7 @@
   return { InstanceId(name), "assist", name + ":80", FailureDomainId("a"), slots, false, "large" };
 }
 
-/// \brief One entry's copy of what control tells.
+/// \brief A FeedClient with the dispatcher that it updates.
 class Client
 {
 public:
@@ -32,12 +32,14 @@
   {
   }
 
-  void Hear(TimePoint now, const wire::ServingStateT& state, const std::string& peer = "control-1")
+  void Receive(TimePoint now,
+               const wire::ServingStateT& state,
+               const std::string& peer = "control-1")
   {
     m_feed.OnState(now, ProcessId(peer), state, m_dispatcher, m_outbox);
   }
 
-  /// The questions that are due, by whom they go to.
+  /// The queries that are due, by receiver.
   std::map<std::string, wire::ServingQueryT> Ask(TimePoint now)
   {
     m_outbox.clear();
@@ -62,7 +64,7 @@
   [[nodiscard]] std::map<InstanceId, ServedTarget> Targets() const
   {
     std::map<InstanceId, ServedTarget> targets;
-    for (const auto& [instance, row] : m_dispatcher.Board().Rows()) {
+    for (const auto& [instance, row] : m_dispatcher.Selector().Rows()) {
       targets.emplace(instance, row.target);
     }
     return targets;
@@ -102,49 +104,48 @@
   return state;
 }
 
-TEST(FeedClient, TakesOverWhatChanged)
+TEST(FeedClient, AppliesChanges)
 {
   Client client;
   const TimePoint now{ 1h };
-  client.Hear(now, State(3, 0, 4, { Head("h1"), Head("h2") }));
+  client.Receive(now, State(3, 0, 4, { Head("h1"), Head("h2") }));
   ASSERT_THAT(client.Names(), ElementsAre("h1", "h2"));
-  client.Hear(now, State(3, 4, 5, { Head("h3") }, { "h1" }));
+  client.Receive(now, State(3, 4, 5, { Head("h3") }, { "h1" }));
   EXPECT_THAT(client.Names(), ElementsAre("h2", "h3"));
-  SECTION("a change that tells again what it has, and more")
+  SECTION("a change that repeats known changes and adds more")
   {
-    client.Hear(now, State(3, 4, 6, { Head("h3", 34), Head("h4") }, { "h1" }));
+    client.Receive(now, State(3, 4, 6, { Head("h3", 34), Head("h4") }, { "h1" }));
     EXPECT_THAT(client.Names(), ElementsAre("h2", "h3", "h4"));
     EXPECT_EQ(client.Targets().at(InstanceId("h3")).slots, 34U);
   }
-  SECTION("but nothing older than it has")
+  SECTION("but no older state")
   {
-    client.Hear(now, State(3, 0, 4, { Head("h1") }));
-    client.Hear(now, State(2, 0, 9, { Head("h9") }));
+    client.Receive(now, State(3, 0, 4, { Head("h1") }));
+    client.Receive(now, State(2, 0, 9, { Head("h9") }));
     EXPECT_THAT(client.Names(), ElementsAre("h2", "h3", "h4"));
   }
-  SECTION("and the whole list of a new leader, whose numbers begin anew")
+  SECTION("and the whole list of a new leader, whose sequence starts again")
   {
-    client.Hear(now, State(4, 0, 1, { Head("h5") }), "control-2");
+    client.Receive(now, State(4, 0, 1, { Head("h5") }), "control-2");
     EXPECT_THAT(client.Names(), ElementsAre("h5"));
   }
 }
 
-// Symptom: an entry would go on with a head that is gone, for as long as that head isn't changed
-// again. Sequence: a change is lost, and the next one arrives. Cause: the next one tells only what
-// changed after the one that is missing.
-TEST(FeedClient, AsksAtOnceForAChangeThatItMissed)
+// A change contains only the differences since the change before it. If an entry applied one after
+// a lost change, it would keep using a removed head until that head changes again.
+TEST(FeedClient, RequestsAMissedChangeAtOnce)
 {
   Client client;
   const TimePoint now{ 1h };
-  client.Hear(now, State(3, 0, 4, { Head("h1"), Head("h2") }));
+  client.Receive(now, State(3, 0, 4, { Head("h1"), Head("h2") }));
   client.Ask(now);
   SECTION("of this leader")
   {
-    client.Hear(now + 1ms, State(3, 5, 6, { Head("h3") }));
+    client.Receive(now + 1ms, State(3, 5, 6, { Head("h3") }));
   }
   SECTION("of a new leader")
   {
-    client.Hear(now + 1ms, State(4, 5, 6, { Head("h3") }), "control-1");
+    client.Receive(now + 1ms, State(4, 5, 6, { Head("h3") }), "control-1");
   }
   EXPECT_THAT(client.Names(), ElementsAre("h1", "h2"));
   const auto queries = client.Ask(now + 2ms);
@@ -153,22 +154,22 @@
   EXPECT_EQ(queries.at("control-1").haveTargets, 4U);
 }
 
-// 52 entries that told five processes what they saw of 65 heads, twice a second, sent more than all
-// changes have. Only the leader decides by it.
-TEST(FeedClient, TellsItsViewsToTheLeaderAlone)
+// Only the leader uses the observations. 52 entries that sent theirs of 65 heads to five processes
+// twice a second caused more traffic than all changes.
+TEST(FeedClient, SendsObservationsOnlyToTheLeader)
 {
   Client client({ "control-1", "control-2" });
   const TimePoint now{ 1h };
   client.Ask(now);
-  client.Hear(now, State(3, 0, 4, { Head("h1") }), "control-2");
+  client.Receive(now, State(3, 0, 4, { Head("h1") }), "control-2");
   const auto queries = client.Ask(now + 1ms);
-  ASSERT_EQ(queries.size(), 2U); // At once: the leader knows nothing of its callers yet.
+  ASSERT_EQ(queries.size(), 2U); // At once: the leader has no demand of this entry yet.
   EXPECT_EQ(queries.at("control-1").haveTargets, 4U);
   EXPECT_THAT(queries.at("control-1").heads, IsEmpty());
 }
 
-/// \brief A leader, entries and the connections between them, on which frames take their time and
-/// are lost when they break.
+/// \brief A leader, entries and the connections between them. Frames are delayed, and are lost when
+/// their connection breaks.
 class FeedSchedule
 {
 public:
@@ -202,10 +203,10 @@
     Run();
   }
 
-  /// All connections stand, and nothing changes.
+  /// Runs without changes and with all connections up.
   void Settle()
   {
-    constexpr int kSteps = 600; // Some ten seconds: a question, and what is sent again, fit in.
+    constexpr int kSteps = 600; // About ten seconds, enough for a query and the retransmissions.
     for (int step = 0; step < kSteps; ++step) {
       m_world.now += 15ms;
       Run();
@@ -292,12 +293,12 @@
     }
     for (Entry& entry : m_entries) {
       Deliver(entry.toEntry, [&](const std::shared_ptr<wire::EnvelopeT>& frame) {
-        entry.client.Hear(m_world.now, *frame->body.AsServingState());
+        entry.client.Receive(m_world.now, *frame->body.AsServingState());
       });
     }
   }
 
-  /// Some of what waits arrives, in order.
+  /// Delivers some of the pending frames, in order.
   template<class Frame, class Take>
   void Deliver(std::deque<Frame>& frames, const Take& take)
   {
@@ -314,8 +315,8 @@
   std::map<InstanceId, ServedTarget> m_targets;
 };
 
-// Whatever is late, lost with its connection, told twice or said by a deposed leader: once nothing
-// changes any more, every entry has what control has.
+// States may be late, lost with their connection, repeated or sent by a deposed leader. Once
+// nothing changes any more, every entry must have the same targets as control.
 TEST(FeedClient, EndsWithTheSameTargetsAsControl)
 {
   constexpr std::uint64_t kSeeds = 60;
--- a/tests/unit/pace_meter_test.cpp
+++ b/tests/unit/pace_meter_test.cpp
@@ -11,8 +11,9 @@
 
 constexpr TimePoint kStart{ 1h };
 
-/// Events of several streams at each step of `step`; the time of the last.
-TimePoint Feed(PaceMeter& meter, TimePoint now, Duration step, int steps)
+/// Simulates the events of several streams at each step.
+/// \returns The time of the last step.
+TimePoint Feed(StepTimeEstimator& meter, TimePoint now, Duration step, int steps)
 {
   for (int i = 0; i < steps; ++i) {
     now += step;
@@ -23,57 +24,57 @@
   return now;
 }
 
-TEST(PaceMeter, TellsTheTimeOfAStepWhateverTheNumberOfStreams)
+TEST(StepTimeEstimator, EstimatesTheStepTimeForAnyNumberOfStreams)
 {
-  PaceMeter meter;
-  EXPECT_EQ(meter.Step(kStart), Duration::zero());
+  StepTimeEstimator meter;
+  EXPECT_EQ(meter.Estimate(kStart), Duration::zero());
   meter.OnBusy(kStart);
   const TimePoint now = Feed(meter, kStart, 50ms, 10);
-  EXPECT_NEAR(static_cast<double>(ToMillis(meter.Step(now))), 49, 2);
-  SECTION("one long step is no slow target")
+  EXPECT_NEAR(static_cast<double>(ToMillis(meter.Estimate(now))), 49, 2);
+  SECTION("one long step does not mark the target as slow")
   {
     const TimePoint later = Feed(meter, now, 200ms, 1);
-    EXPECT_LT(meter.Step(later), 100ms);
+    EXPECT_LT(meter.Estimate(later), 100ms);
   }
-  SECTION("six are")
+  SECTION("six do")
   {
     const TimePoint later = Feed(meter, now, 600ms, 6);
-    EXPECT_GT(meter.Step(later), 400ms);
-    SECTION("and it is tried again after some seconds")
+    EXPECT_GT(meter.Estimate(later), 400ms);
+    SECTION("and the estimate decays within seconds, so that it is tried again")
     {
-      EXPECT_LT(meter.Step(later + 4s), 50ms);
+      EXPECT_LT(meter.Estimate(later + 4s), 50ms);
     }
   }
   SECTION("idle time is not counted")
   {
-    PaceMeter idle;
+    StepTimeEstimator idle;
     idle.OnBusy(kStart);
     const TimePoint end = Feed(idle, kStart, 50ms, 10);
     idle.OnBusy(end + 900ms);
     idle.OnBytes(end + 950ms);
-    EXPECT_LT(idle.Step(end + 950ms), 60ms);
+    EXPECT_LT(idle.Estimate(end + 950ms), 60ms);
   }
 }
 
-// Symptom: half of the answers are late although one of two heads is idle half of the time.
-// Sequence: one head becomes slow; its requests stay long, and new ones follow whenever one ends.
-// Cause: heads were compared by the number of requests alone.
-TEST(TargetBoard, ASlowHeadGetsLittleWork)
+// If heads were compared by the number of requests alone, a slow head would get a new request
+// whenever one ends. Half of the answers would be late while the other of two heads is idle half of
+// the time.
+TEST(TargetSelector, ASlowHeadGetsFewRequests)
 {
   std::uint64_t random = 0;
-  TargetBoard board(FailureDomainId("a"), [&] { return random++; });
-  const InstanceId sound("sound");
+  TargetSelector board(FailureDomainId("a"), [&] { return random++; });
+  const InstanceId healthy("sound");
   const InstanceId slow("slow");
   board.Replace(std::vector<ServedTarget>{
-    { sound, "assist", "1:1", FailureDomainId("a"), 34, false, "large" },
+    { healthy, "assist", "1:1", FailureDomainId("a"), 34, false, "large" },
     { slow, "assist", "2:2", FailureDomainId("a"), 34, false, "large" } });
   const std::set<InstanceId> none;
   TimePoint now = kStart;
-  board.OnSent(now, { sound, {} });
+  board.OnSent(now, { healthy, {} });
   board.OnSent(now, { slow, {} });
   for (int step = 0; step < 24; ++step) {
     now += 50ms;
-    board.OnBytes(now, { sound, {} });
+    board.OnBytes(now, { healthy, {} });
     if (step % 6 == 5) {
       board.OnBytes(now, { slow, {} });
     }
--- a/tests/unit/target_shares_test.cpp
+++ b/tests/unit/target_shares_test.cpp
@@ -18,7 +18,7 @@
   };
 }
 
-/// \brief One of fifty entries, which has three places at each of two heads.
+/// \brief One of fifty entries, which may use three slots at each of two heads.
 class ShareWorld
 {
 public:
@@ -26,8 +26,8 @@
   {
     board.Replace(Heads());
     board.SetEntries(50);
-    constexpr double kThreePlaces = 3.0 / kSlots;
-    board.SetShares({ { InstanceId("h1"), kThreePlaces }, { InstanceId("h2"), kThreePlaces } });
+    constexpr double kThreeSlots = 3.0 / kSlots;
+    board.SetShares({ { InstanceId("h1"), kThreeSlots }, { InstanceId("h2"), kThreeSlots } });
   }
 
   static std::vector<ServedTarget> Heads()
@@ -35,7 +35,8 @@
     return { Head("h1", "a"), Head("h2", "a"), Head("h3", "b"), Head("h4", "b") };
   }
 
-  /// Sends requests until no head takes one, and tells how many went to each.
+  /// Sends requests until no head takes one.
+  /// \returns The number sent to each head.
   std::map<std::string, int> Fill()
   {
     std::map<std::string, int> sent;
@@ -47,29 +48,30 @@
     return sent;
   }
 
-  std::uint64_t drawn = 0;
-  TargetBoard board{ FailureDomainId("a"), [this] { return drawn++; } };
+  std::uint64_t randomCalls = 0;
+  TargetSelector board{ FailureDomainId("a"), [this] { return randomCalls++; } };
   TimePoint now{ 1h };
 };
 
-// Fifty entries that each take what they like of a head overfill it while others are idle.
-TEST(TargetShares, AnEntryFillsItsOwnPlacesAndBorrowsFew)
+// Without shares, fifty entries overfill some heads while others are idle.
+TEST(TargetShares, AnEntryFillsItsOwnSlotsAndBorrowsFew)
 {
   ShareWorld world;
   const auto sent = world.Fill();
   EXPECT_EQ(sent.at("h1"), 3);
   EXPECT_EQ(sent.at("h2"), 3);
-  const int lent =
+  const int borrowed =
     (sent.contains("h3") ? sent.at("h3") : 0) + (sent.contains("h4") ? sent.at("h4") : 0);
-  EXPECT_GE(lent, 1);
-  EXPECT_LE(lent, 2);
+  EXPECT_GE(borrowed, 1);
+  EXPECT_LE(borrowed, 2);
   const std::set<InstanceId> none;
-  EXPECT_EQ(world.board.WhyNone(world.now, { "assist", "large", none }), NoTarget::kFull);
+  EXPECT_EQ(world.board.ReasonForNoTarget(world.now, { "assist", "large", none }),
+            NoTargetReason::kFull);
 }
 
-// Symptom: all callers are refused after a change of groups. Sequence: the heads of an entry's
-// share are gone, and control is out of reach. Cause: others' heads had only lent places.
-TEST(TargetShares, WithoutAnyHeadOfItsShareAnEntryUsesAll)
+// When all heads of an entry's share were removed while control is unreachable, the entry must not
+// be limited to borrowed slots at the other heads, or it would refuse all callers.
+TEST(TargetShares, WithoutAnyHeadOfItsShareAnEntryUsesAllHeads)
 {
   ShareWorld world;
   world.board.Replace(std::vector<ServedTarget>{ Head("h3", "b"), Head("h4", "b") });
@@ -78,9 +80,8 @@
   EXPECT_GE(sent.at("h4"), 2);
 }
 
-// Symptom: an entry refuses with nine places while three times as many callers as that are its own.
-// Sequence: most heads of its share are lost, control is out of reach, other heads stand. Cause:
-// what it may borrow was a part of what it had left.
+// When an entry lost most heads of its share while control is unreachable, a borrowing limit
+// relative to its remaining slots left it with nine slots for three times as many callers.
 TEST(TargetShares, AnEntryThatLostMostOfItsShareBorrowsWhatIsMissing)
 {
   ShareWorld world;
@@ -97,11 +98,10 @@
   EXPECT_GE(sent, 17);
 }
 
-// Symptom: for five seconds after a group opened, its callers and the next wait (first event p50
-// 441 ms where 309 are usual, 39 of 86 late). Sequence: ten entries see a head without work at one
-// moment, and each fills its places there. Cause: the head reads some thirty prompts one after the
-// other.
-TEST(TargetShares, AHeadThatJustOpenedIsFilledByAndBy)
+// Ten entries see a newly opened head without load at the same time. If each uses all its slots
+// there at once, the head reads about thirty prompts one after the other, and callers wait for five
+// seconds (first event p50 441 ms instead of 309 ms, 39 of 86 late).
+TEST(TargetShares, ANewlyOpenedHeadIsFilledGradually)
 {
   ShareWorld world;
   const std::set<InstanceId> none;
@@ -112,24 +112,25 @@
     return name;
   };
   world.board.Change(world.now, std::vector<ServedTarget>{ Head("h5", "a") }, {});
-  const double places = 3.0 / kSlots;
-  world.board.SetShares(
-    { { InstanceId("h1"), places }, { InstanceId("h2"), places }, { InstanceId("h5"), places } });
+  const double fraction = 3.0 / kSlots;
+  world.board.SetShares({ { InstanceId("h1"), fraction },
+                          { InstanceId("h2"), fraction },
+                          { InstanceId("h5"), fraction } });
   std::set<std::string> first = { choose(), choose() };
   EXPECT_EQ(first.count("h5"), 0U);
-  SECTION("and has its full part after the time that requests take")
+  SECTION("and has its full part after the slow start")
   {
     world.now += 3s;
     EXPECT_EQ(choose(), "h5");
   }
 }
 
-TEST(TargetShares, AHeadThatJustOpenedTakesWhatNoOtherHasRoomFor)
+TEST(TargetShares, ANewlyOpenedHeadIsUsedWhenNoOtherHasCapacity)
 {
   ShareWorld world;
   world.board.Change(world.now, std::vector<ServedTarget>{ Head("h5", "a") }, {});
-  const double places = 3.0 / kSlots;
-  world.board.SetShares({ { InstanceId("h1"), places }, { InstanceId("h5"), places } });
+  const double fraction = 3.0 / kSlots;
+  world.board.SetShares({ { InstanceId("h1"), fraction }, { InstanceId("h5"), fraction } });
   EXPECT_EQ(world.Fill().at("h5"), 3);
 }
 
--- a/tests/unit/waiting_line_test.cpp
+++ b/tests/unit/waiting_line_test.cpp
@@ -13,57 +13,57 @@
 const ServedKind kLarge{ "assist", "large" };
 constexpr Duration kObjective = 300ms;
 
-/// A model of which a place comes free each 50 ms, and a first event comes 100 ms after the
+/// A queue of a model whose slots come free every 50 ms and whose first events arrive 100 ms after
 /// sending.
-WaitingLine BusyLine(TimePoint now)
+WaitQueue BusyQueue(TimePoint now)
 {
-  WaitingLine line;
-  for (int place = 40; place > 0; --place) {
-    line.OnRoom(now - 50ms * place, kLarge);
-    line.OnFirstEvent(kLarge, 100ms);
+  WaitQueue queue;
+  for (int slot = 40; slot > 0; --slot) {
+    queue.OnSlotFreed(now - 50ms * slot, kLarge);
+    queue.OnFirstEvent(kLarge, 100ms);
   }
-  return line;
+  return queue;
 }
 
-TEST(WaitingLine, LetsThoseWaitWhoWillBeInTime)
+TEST(WaitQueue, QueuesRequestsThatWillMeetTheirObjective)
 {
   const TimePoint now{ 1h };
-  WaitingLine line = BusyLine(now);
-  SECTION("the wait is that of those before and one's own place")
+  WaitQueue queue = BusyQueue(now);
+  SECTION("the wait covers the requests ahead and the request itself")
   {
-    EXPECT_NEAR(static_cast<double>(ToMillis(*line.ExpectedWait(now, kLarge))), 50, 10);
-    EXPECT_TRUE(line.TryJoin(now, kLarge, ExchangeId(1), kObjective));
-    EXPECT_NEAR(static_cast<double>(ToMillis(*line.ExpectedWait(now, kLarge))), 100, 20);
+    EXPECT_NEAR(static_cast<double>(ToMillis(*queue.ExpectedWait(now, kLarge))), 50, 10);
+    EXPECT_TRUE(queue.TryEnqueue(now, kLarge, ExchangeId(1), kObjective));
+    EXPECT_NEAR(static_cast<double>(ToMillis(*queue.ExpectedWait(now, kLarge))), 100, 20);
   }
-  SECTION("no longer than leaves time for an answer within the objective")
+  SECTION("only as long as leaves time for an answer within the objective")
   {
-    EXPECT_TRUE(line.TryJoin(now, kLarge, ExchangeId(2), kObjective));
-    EXPECT_TRUE(line.TryJoin(now, kLarge, ExchangeId(3), kObjective));
-    EXPECT_FALSE(line.TryJoin(now, kLarge, ExchangeId(4), kObjective));
-    EXPECT_THAT(line.TakeExpired(now + 199ms), IsEmpty());
-    EXPECT_THAT(line.TakeExpired(now + 201ms),
+    EXPECT_TRUE(queue.TryEnqueue(now, kLarge, ExchangeId(2), kObjective));
+    EXPECT_TRUE(queue.TryEnqueue(now, kLarge, ExchangeId(3), kObjective));
+    EXPECT_FALSE(queue.TryEnqueue(now, kLarge, ExchangeId(4), kObjective));
+    EXPECT_THAT(queue.TakeExpired(now + 199ms), IsEmpty());
+    EXPECT_THAT(queue.TakeExpired(now + 201ms),
                 ElementsAre(ExchangeId(1), ExchangeId(2), ExchangeId(3)));
-    EXPECT_TRUE(line.First(kLarge).IsNone());
+    EXPECT_TRUE(queue.First(kLarge).IsNone());
   }
-  SECTION("whoever has least time goes first")
+  SECTION("the request with the least time left is first")
   {
-    EXPECT_TRUE(line.TryJoin(now, kLarge, ExchangeId(5), kObjective));
-    EXPECT_TRUE(line.TryJoin(now, kLarge, ExchangeId(6), 250ms));
-    EXPECT_EQ(line.First(kLarge), ExchangeId(6));
-    line.Remove(ExchangeId(6));
-    EXPECT_EQ(line.First(kLarge), ExchangeId(5));
-    EXPECT_THAT(line.ListWaiting(), ElementsAre(kLarge));
+    EXPECT_TRUE(queue.TryEnqueue(now, kLarge, ExchangeId(5), kObjective));
+    EXPECT_TRUE(queue.TryEnqueue(now, kLarge, ExchangeId(6), 250ms));
+    EXPECT_EQ(queue.First(kLarge), ExchangeId(6));
+    queue.Remove(ExchangeId(6));
+    EXPECT_EQ(queue.First(kLarge), ExchangeId(5));
+    EXPECT_THAT(queue.ListWaiting(), ElementsAre(kLarge));
   }
 }
 
-// Symptom: callers of a model whose groups all stand still wait for nothing. Sequence: no place
-// came free for a while. Cause: the line was judged by what once was.
-TEST(WaitingLine, NobodyWaitsWhereNoPlaceComesFree)
+// When all groups of a model are stalled, no slots come free. The expected wait must not be based
+// on slots that came free long ago, or callers would wait in vain.
+TEST(WaitQueue, QueuesNothingWhenNoSlotsComeFree)
 {
   const TimePoint now{ 1h };
-  WaitingLine line = BusyLine(now);
-  EXPECT_FALSE(line.TryJoin(now + 5s, kLarge, ExchangeId(1), kObjective));
-  EXPECT_FALSE(line.TryJoin(now, { "assist", "small" }, ExchangeId(2), kObjective));
+  WaitQueue queue = BusyQueue(now);
+  EXPECT_FALSE(queue.TryEnqueue(now + 5s, kLarge, ExchangeId(1), kObjective));
+  EXPECT_FALSE(queue.TryEnqueue(now, { "assist", "small" }, ExchangeId(2), kObjective));
 }
 
 } // namespace
