--- a/include/gooseberrysail/routing/router.hpp
+++ b/include/gooseberrysail/routing/router.hpp
@@ -14,7 +14,7 @@
 
 namespace gooseberrysail {
 
-/// \brief A group an entry may send work to.
+/// \brief A group to which an entry may send requests.
 struct RouteCandidate
 {
   GroupId group;
@@ -26,7 +26,7 @@
   FailureDomainId failureDomain;
 };
 
-/// \brief What a group said of its load, `age` before it arrived.
+/// \brief A group's load report, which describes the moment `age` before its arrival.
 struct LoadObservation
 {
   std::uint32_t running = 0;
@@ -37,12 +37,12 @@
   Duration age{};
 };
 
-/// \brief How an attempt ended, as far as it tells something about the group.
+/// \brief The result of an attempt, as far as it concerns the group.
 enum class AttemptResult
 {
   kCompleted,
   kRefused, ///< Refused before start.
-  kFailed,  ///< Cut, silent or answered with a server error.
+  kFailed,  ///< Broken off, timed out or answered with a server error.
   kCancelled,
 };
 
@@ -50,20 +50,20 @@
 {
   EntryName entry;
   std::span<const std::uint64_t>
-    prefixHashes;                 ///< Hash of each further prompt block, shortest first.
+    prefixHashes;                 ///< Of the prompt up to the end of each block, shortest first.
   std::span<const GroupId> tried; ///< Groups to avoid, latest last.
   std::size_t promptBytes = 0;
 };
 
-/// \brief What a router believes of the work at one catalogue entry's groups.
+/// \brief A router's estimate of the load of one catalogue entry's groups.
 struct EntryLoad
 {
-  std::size_t open = 0; ///< Candidates that take work.
+  std::size_t open = 0; ///< Candidates that accept requests.
   double inFlight = 0;  ///< Requests at all open candidates, from every sender.
   std::size_t ejected = 0;
 };
 
-/// \brief Chooses a group for each attempt. The decision sees a bounded candidate set.
+/// \brief Chooses a group for each attempt. A decision scores a bounded number of candidates.
 class Router
 {
 public:
@@ -78,7 +78,7 @@
   [[nodiscard]] const RouteCandidate* Find(GroupId group) const;
   [[nodiscard]] std::size_t CandidateCount(const EntryName& entry) const;
 
-  /// \returns None when no candidate may take work now.
+  /// \returns None when no candidate accepts requests.
   [[nodiscard]] std::optional<GroupId> Choose(TimePoint now, const RouteQuery& query);
 
   void OnSent(TimePoint now, GroupId group, const RouteQuery& query);
@@ -92,12 +92,13 @@
                      std::span<const std::uint64_t> removed,
                      bool reset);
 
-  /// \brief Whether a retry may be sent now; every first attempt earns a part of one.
+  /// \brief Takes one retry from the budget, to which every first attempt adds a fraction.
+  /// \returns False when no retry may be sent now.
   [[nodiscard]] bool TakeRetry(TimePoint now);
 
-  /// \brief Own requests counted exactly, those of other senders from their groups' reports.
+  /// \brief Counts own requests exactly and estimates those of other senders from load reports.
   [[nodiscard]] EntryLoad Load(const EntryName& entry) const;
-  /// \brief Whether a group is left out for now as a straggler or for its failures.
+  /// \brief Whether a group is currently ejected because it is slow or fails.
   [[nodiscard]] bool IsEjected(TimePoint now, GroupId group) const;
 
 private:
--- a/src/routing/group_table.cpp
+++ b/src/routing/group_table.cpp
@@ -36,23 +36,24 @@
   free.push_back(slot);
 }
 
-void GroupTable::Park(TimePoint now, Slot slot)
+void GroupTable::Unlist(TimePoint now, Slot slot)
 {
   scores[slot].listed = false;
-  m_parked.push_back({ scores[slot].group, now });
-  ErasePastParked(now);
+  m_unlisted.push_back({ scores[slot].group, now });
+  EraseExpired(now);
 }
 
-void GroupTable::ErasePastParked(TimePoint now)
+void GroupTable::EraseExpired(TimePoint now)
 {
-  while (!m_parked.empty() &&
-         (m_parked.size() > kMostParked || now - m_parked.front().since > kParkedFor)) {
-    // It may have been listed again or even parked a second time since; then a later mark counts.
-    const GroupId group = m_parked.front().group;
-    m_parked.pop_front();
+  while (!m_unlisted.empty() && (m_unlisted.size() > kMaxUnlisted ||
+                                 now - m_unlisted.front().since > kUnlistedRetention)) {
+    // The group may have been listed again since, or unlisted again; then the later record counts.
+    const GroupId group = m_unlisted.front().group;
+    m_unlisted.pop_front();
     const Slot slot = Find(group);
-    const bool markedAgain = std::ranges::find(m_parked, group, &Parked::group) != m_parked.end();
-    if (slot != kNoSlot && !scores[slot].listed && !markedAgain) {
+    const bool unlistedAgain =
+      std::ranges::find(m_unlisted, group, &Unlisted::group) != m_unlisted.end();
+    if (slot != kNoSlot && !scores[slot].listed && !unlistedAgain) {
       Erase(slot);
     }
   }
--- a/src/routing/group_table.hpp
+++ b/src/routing/group_table.hpp
@@ -12,39 +12,39 @@
 
 using DomainIndex = std::uint16_t;
 
-/// \brief What a decision reads of a group; kept small because a decision reads many.
+/// \brief The data of a group that a decision reads; kept small because a decision reads many.
 struct GroupScore
 {
   GroupId group;
-  std::uint32_t own = 0;              ///< Own requests in flight.
-  float others = 0;                   ///< Requests of other senders, aged.
-  float awaitingFirst = 0;            ///< Cost of own requests in prefill.
-  float slowness = 1;                 ///< Time of an answer against the peers'.
-  float penalty = 0;                  ///< Refreshed: ejected, silent, in a dark domain.
-  std::uint32_t ownMost = UINT32_MAX; ///< Own requests allowed during slow start.
-  TimePoint backoffUntil{};           ///< It refused lately.
+  std::uint32_t own = 0;               ///< Own requests in flight.
+  float others = 0;                    ///< Estimated requests of other senders.
+  float awaitingFirst = 0;             ///< Cost of own requests in prefill.
+  float slowness = 1;                  ///< Answer time relative to the peers'.
+  float penalty = 0;                   ///< Ejected, silent or in an unreachable domain.
+  std::uint32_t ownLimit = UINT32_MAX; ///< Limit on own requests during slow start.
+  TimePoint backoffUntil{};            ///< After a refusal.
   DomainIndex domain = 0;
   bool open = true;
-  bool listed = true; ///< A candidate now; false while only remembered.
+  bool listed = true; ///< Is a candidate; false while only retained.
 };
 
-/// \brief What the refresh and the feedback need of a group.
+/// \brief The data of a group that the feedback updates and the refresh evaluates.
 struct GroupHealth
 {
   // Load reports.
   double reportedOthers = 0;
-  TimePoint reportedFor{}; ///< The moment the report tells of.
+  TimePoint reportObservedAt{}; ///< The moment that the report describes.
   TimePoint reportArrived{};
   Duration reportInterval{}; ///< Smoothed; zero before the second report.
 
   // Answers.
   Sojourn whole;
   Sojourn first;
-  double awaitingFirst = 0; ///< A mean where an end does not tell whether a byte had come.
-  TimePoint heardAt{};      ///< Last report, first byte or end.
+  double awaitingFirst = 0; ///< Fractional: an aborted attempt counts in proportion.
+  TimePoint lastSignalAt{}; ///< Last report, first byte or end.
   TimePoint failedAt{};
-  std::uint32_t failures = 0; ///< In a row.
-  std::uint32_t refusals = 0; ///< In a row.
+  std::uint32_t failures = 0; ///< Consecutive.
+  std::uint32_t refusals = 0; ///< Consecutive.
 
   // Ejection and return.
   TimePoint ejectedUntil{};
@@ -53,7 +53,7 @@
   bool ramping = false;
 };
 
-/// \brief A group as a decision, its feedback and its callers need it.
+/// \brief The data of all groups, in parallel arrays indexed by slot.
 struct GroupTable
 {
   std::vector<GroupScore> scores;
@@ -72,22 +72,22 @@
 
   Slot Insert(const RouteCandidate& candidate);
   void Erase(Slot slot);
-  /// \brief Takes a group off the list but remembers it for a while.
-  /// \remarks Groups go and come with each lost connection. Forgotten, a group would come back
-  /// without the requests that are still running there and with an unknown cache.
-  void Park(TimePoint now, Slot slot);
+  /// \brief Marks a group as not listed and retains its data for a limited time.
+  /// \remarks Groups disappear and return with each lost connection. Without the retained data, a
+  /// returning group would appear to have no requests running and an unknown cache.
+  void Unlist(TimePoint now, Slot slot);
 
 private:
-  static constexpr std::size_t kMostParked = 64;
-  static constexpr Duration kParkedFor = std::chrono::seconds(60);
-  struct Parked
+  static constexpr std::size_t kMaxUnlisted = 64;
+  static constexpr Duration kUnlistedRetention = std::chrono::seconds(60);
+  struct Unlisted
   {
     GroupId group;
     TimePoint since{};
   };
-  void ErasePastParked(TimePoint now);
+  void EraseExpired(TimePoint now);
 
-  std::deque<Parked> m_parked;
+  std::deque<Unlisted> m_unlisted;
 };
 
 /// \brief The candidates of one catalogue entry.
@@ -103,7 +103,7 @@
   double medianFirst = 0;
 };
 
-/// \brief Brings aged loads, slowness, ejections and suspicions of one entry's groups up to date.
+/// \brief Updates the loads, slowness, ejections and silence penalties of one entry's groups.
 class HealthRefresh
 {
 public:
@@ -115,9 +115,9 @@
   void CompareTimes(TimePoint now, EntryTable& entry);
   void EjectSlowest(TimePoint now, const EntryTable& entry);
   void MarkSilent(TimePoint now, const EntryTable& entry);
-  void MarkDarkDomains(TimePoint now, const EntryTable& entry);
+  void MarkDownDomains(TimePoint now, const EntryTable& entry);
   void Ramp(TimePoint now, const EntryTable& entry);
-  [[nodiscard]] bool IsSilent(TimePoint now, TimePoint latestHeard, Slot slot) const;
+  [[nodiscard]] bool IsSilent(TimePoint now, TimePoint latestSignal, Slot slot) const;
 
   const RouterPolicy& m_policy;
   GroupTable& m_groups;
@@ -125,12 +125,12 @@
   std::vector<std::uint16_t> m_domainDown;
 };
 
-/// \brief Leaves a group out for a time that doubles with each ejection.
+/// \brief Ejects a group for a time that doubles with each recent ejection, up to a limit.
 void Eject(TimePoint now, const RouterPolicy& policy, GroupHealth& health);
 
-/// Soft penalties, in units of one request in flight: such a group is used only when no better one
-/// is left, since a late answer is worth more than none.
-inline constexpr float kOverRampPenalty = 1e3F;
+/// Penalties in units of one request in flight. A penalised group is used only when no better one
+/// is available, since a late answer is better than none.
+inline constexpr float kSlowStartPenalty = 1e3F;
 inline constexpr float kBackoffPenalty = 1e4F;
 inline constexpr float kSilentPenalty = 1e5F;
 inline constexpr float kEjectedPenalty = 1e6F;
--- a/src/routing/health_refresh.cpp
+++ b/src/routing/health_refresh.cpp
@@ -7,20 +7,22 @@
 
 namespace {
 
-/// Peers compared; a median needs no more, and a refresh must not grow with the whole fleet.
-constexpr std::size_t kPeers = 64;
-constexpr double kLeastCompleted = 2;
-/// Answers of a group that a judgement looks back on, within these times.
-constexpr double kRemembered = 12;
-constexpr double kLeastMemory = 4;
-constexpr double kMostMemory = 30;
-/// Differences up to this are noise of prompt and answer lengths.
+/// Number of groups in a median. More are not needed, and the cost of the medians stays bounded in
+/// a large fleet.
+constexpr std::size_t kMaxPeers = 64;
+constexpr double kMinCompleted = 2;
+/// The mean of answer times covers about this many answers of a group, within these bounds in
+/// seconds.
+constexpr double kRememberedAnswers = 12;
+constexpr double kMinMemory = 4;
+constexpr double kMaxMemory = 30;
+/// Ratios up to this are due to varying lengths of prompts and answers.
 constexpr double kSlownessNoise = 1.25;
-constexpr float kMostSlowness = 20;
-constexpr std::size_t kLeastPeers = 3;
+constexpr float kMaxSlowness = 20;
+constexpr std::size_t kMinPeers = 3;
 constexpr Duration kFailureMemory = std::chrono::seconds(3);
-/// An ejection this far back is forgiven.
-constexpr Duration kForgive = std::chrono::minutes(5);
+/// The count of ejections restarts this long after the end of the latest one.
+constexpr Duration kEjectionMemory = std::chrono::minutes(5);
 
 double Seconds(Duration duration)
 {
@@ -41,7 +43,7 @@
 
 void Eject(TimePoint now, const RouterPolicy& policy, GroupHealth& health)
 {
-  if (now - health.ejectedUntil > kForgive) {
+  if (now - health.ejectedUntil > kEjectionMemory) {
     health.ejections = 0;
   }
   const auto doublings = std::min<std::uint32_t>(health.ejections, 10);
@@ -50,8 +52,8 @@
   ++health.ejections;
   health.ejectedUntil = now + length;
   health.failures = 0;
-  health.whole.Forget(now);
-  health.first.Forget(now);
+  health.whole.Reset(now);
+  health.first.Reset(now);
   health.rampFrom = health.ejectedUntil;
   health.ramping = true;
 }
@@ -71,7 +73,7 @@
   CompareTimes(now, entry);
   EjectSlowest(now, entry);
   MarkSilent(now, entry);
-  MarkDarkDomains(now, entry);
+  MarkDownDomains(now, entry);
   Ramp(now, entry);
 }
 
@@ -87,7 +89,7 @@
     if (health.reportArrived == TimePoint{}) {
       continue;
     }
-    const double weight = horizon / (horizon + Seconds(now - health.reportedFor));
+    const double weight = horizon / (horizon + Seconds(now - health.reportObservedAt));
     weights += weight;
     reported += weight * health.reportedOthers;
   }
@@ -95,9 +97,9 @@
   entry.meanOwn = entry.slots.empty() ? 0 : own / static_cast<double>(entry.slots.size());
   for (const Slot slot : entry.slots) {
     const GroupHealth& health = m_groups.health[slot];
-    // An old report says less than what the peers show by now: an idle moment long past must not
-    // go on drawing all work to one group.
-    const double age = Seconds(now - health.reportedFor);
+    // The weight of a report decreases with age in favour of the mean of the peers. Otherwise an
+    // old report of an idle group would keep attracting all requests.
+    const double age = Seconds(now - health.reportObservedAt);
     const double trust = health.reportArrived == TimePoint{} ? 0 : horizon / (horizon + age);
     m_groups.scores[slot].others =
       static_cast<float>(trust * health.reportedOthers + (1 - trust) * entry.meanOthers);
@@ -109,25 +111,25 @@
   std::vector<double> whole;
   std::vector<double> first;
   double perSecond = 0;
-  const std::size_t peers = std::min(entry.slots.size(), kPeers);
+  const std::size_t peers = std::min(entry.slots.size(), kMaxPeers);
   for (std::size_t i = 0; i < entry.slots.size(); ++i) {
     const Slot slot = entry.slots[i];
     GroupHealth& health = m_groups.health[slot];
     health.whole.Advance(now, m_groups.scores[slot].own);
     health.first.Advance(now, health.awaitingFirst);
     perSecond += health.whole.PerSecond() / static_cast<double>(entry.slots.size());
-    if (i < peers && health.whole.Completed() >= kLeastCompleted) {
+    if (i < peers && health.whole.Completed() >= kMinCompleted) {
       whole.push_back(health.whole.Raw());
     }
-    if (i < peers && health.first.Completed() >= kLeastCompleted) {
+    if (i < peers && health.first.Completed() >= kMinCompleted) {
       first.push_back(health.first.Raw());
     }
   }
-  const bool enough = whole.size() >= kLeastPeers;
+  const bool enough = whole.size() >= kMinPeers;
   entry.medianWhole = enough ? Median(whole) : 0;
-  entry.medianFirst = first.size() >= kLeastPeers ? Median(first) : 0;
+  entry.medianFirst = first.size() >= kMinPeers ? Median(first) : 0;
   const double memory =
-    std::clamp(kRemembered / std::max(perSecond, 1e-3), kLeastMemory, kMostMemory);
+    std::clamp(kRememberedAnswers / std::max(perSecond, 1e-3), kMinMemory, kMaxMemory);
   for (const Slot slot : entry.slots) {
     GroupHealth& health = m_groups.health[slot];
     health.whole.SetMemory(memory);
@@ -135,18 +137,18 @@
     const double ratio =
       entry.medianWhole > 0 ? health.whole.Mean(entry.medianWhole) / entry.medianWhole : 1;
     m_groups.scores[slot].slowness =
-      std::clamp(static_cast<float>(ratio / kSlownessNoise), 1.0F, kMostSlowness);
+      std::clamp(static_cast<float>(ratio / kSlownessNoise), 1.0F, kMaxSlowness);
   }
 }
 
 void HealthRefresh::EjectSlowest(TimePoint now, const EntryTable& entry)
 {
-  if (entry.slots.size() < kLeastPeers) {
+  if (entry.slots.size() < kMinPeers) {
     return;
   }
-  // When much of the fleet looks slow the cause is load or the network, and leaving groups out
-  // would only press the rest: never more than a share of them at once.
-  const auto most = std::max<std::size_t>(
+  // If many groups are slow, the cause is load or the network, and ejecting them would only
+  // overload the rest. So only a fraction of the groups may be ejected at once.
+  const auto maxEjected = std::max<std::size_t>(
     1,
     static_cast<std::size_t>(m_policy.ejection.maxShare * static_cast<double>(entry.slots.size())));
   std::size_t ejected = 0;
@@ -171,7 +173,7 @@
       worst = slot;
     }
   }
-  if (worst != kNoSlot && ejected < most) {
+  if (worst != kNoSlot && ejected < maxEjected) {
     Eject(now, m_policy, m_groups.health[worst]);
   }
   for (const Slot slot : entry.slots) {
@@ -180,7 +182,7 @@
   }
 }
 
-bool HealthRefresh::IsSilent(TimePoint now, TimePoint latestHeard, Slot slot) const
+bool HealthRefresh::IsSilent(TimePoint now, TimePoint latestSignal, Slot slot) const
 {
   const GroupHealth& health = m_groups.health[slot];
   if (health.reportInterval <= Duration{}) {
@@ -189,43 +191,45 @@
   const auto missed = std::chrono::duration_cast<Duration>(
     std::chrono::duration<double>(Seconds(health.reportInterval) * m_policy.silence.intervals));
   const Duration limit = std::max(m_policy.silence.least, missed);
-  // When nobody is heard of, this process is the one cut off or it was paused.
-  const bool othersHeard = now - latestHeard < limit;
-  return othersHeard && now - health.heardAt > limit;
+  // If no group sent anything, this process was disconnected or paused.
+  const bool othersSignalled = now - latestSignal < limit;
+  return othersSignalled && now - health.lastSignalAt > limit;
 }
 
 void HealthRefresh::MarkSilent(TimePoint now, const EntryTable& entry)
 {
-  TimePoint latestHeard{};
+  TimePoint latestSignal{};
   for (const Slot slot : entry.slots) {
-    latestHeard = std::max(latestHeard, m_groups.health[slot].heardAt);
+    latestSignal = std::max(latestSignal, m_groups.health[slot].lastSignalAt);
   }
   std::ranges::fill(m_domainCount, 0);
   std::ranges::fill(m_domainDown, 0);
   for (const Slot slot : entry.slots) {
     const GroupHealth& health = m_groups.health[slot];
-    const bool silent = IsSilent(now, latestHeard, slot);
+    const bool silent = IsSilent(now, latestSignal, slot);
     const bool failing = health.failures > 0 && now - health.failedAt < kFailureMemory;
     const DomainIndex domain = m_groups.scores[slot].domain;
     ++m_domainCount[domain];
     m_domainDown[domain] += silent || failing ? 1 : 0;
-    // Work may still be tried there one at a time, or silence of an idle group would keep it idle.
+    // Without own requests there is no penalty, so that one request at a time probes the group.
+    // Otherwise an idle silent group would never be used again.
     if (silent && m_groups.scores[slot].own > 0) {
       m_groups.scores[slot].penalty += kSilentPenalty;
     }
   }
 }
 
-void HealthRefresh::MarkDarkDomains(TimePoint now, const EntryTable& entry)
+void HealthRefresh::MarkDownDomains(TimePoint now, const EntryTable& entry)
 {
-  // A failure domain goes dark as a whole, but its groups are found silent one by one, each at the
-  // price of a request. When half of a domain is down, the rest is taken to be down too.
+  // A failure domain fails as a whole, but its groups are detected as silent one by one, each at
+  // the cost of a request. When half of a domain is down, the rest is treated as down too.
   for (const Slot slot : entry.slots) {
     const DomainIndex domain = m_groups.scores[slot].domain;
-    const bool dark =
+    const bool isDown =
       m_domainDown[domain] >= 2 && m_domainDown[domain] * 2 >= m_domainCount[domain];
-    const bool heard = now - m_groups.health[slot].heardAt < m_policy.silence.least / 3;
-    if (dark && !heard) {
+    const bool hasRecentSignal =
+      now - m_groups.health[slot].lastSignalAt < m_policy.silence.least / 3;
+    if (isDown && !hasRecentSignal) {
       m_groups.scores[slot].penalty += kSilentPenalty;
     }
   }
@@ -236,7 +240,7 @@
   for (const Slot slot : entry.slots) {
     GroupHealth& health = m_groups.health[slot];
     GroupScore& score = m_groups.scores[slot];
-    score.ownMost = UINT32_MAX;
+    score.ownLimit = UINT32_MAX;
     if (!health.ramping || now < health.rampFrom) {
       continue;
     }
@@ -245,9 +249,9 @@
       health.ramping = false;
       continue;
     }
-    // Being the emptiest, a group that comes back would get every new request at once, with a cold
-    // cache. Its bound grows to what its peers hold.
-    score.ownMost = 1 + static_cast<std::uint32_t>(std::ceil(done * entry.meanOwn));
+    // A returning group has the least load and a cold cache, and would get every new request at
+    // once. Its limit grows linearly up to the mean of its peers.
+    score.ownLimit = 1 + static_cast<std::uint32_t>(std::ceil(done * entry.meanOwn));
   }
 }
 
--- a/src/routing/own_history.hpp
+++ b/src/routing/own_history.hpp
@@ -8,9 +8,9 @@
 
 namespace gooseberrysail::impl {
 
-/// \brief How many own requests were in flight at a group, now and over the last seconds.
-/// \remarks A load report tells of a past moment and includes this sender's requests of then.
-/// Subtracting today's count instead would count work twice or lose that of others.
+/// \brief The number of own requests in flight at a group, now and during the last two seconds.
+/// \remarks A load report describes a past moment and includes this sender's requests at that time.
+/// Subtracting the current count instead would count own requests twice or lose those of others.
 class OwnHistory
 {
 public:
@@ -40,7 +40,7 @@
     return static_cast<std::uint16_t>(std::min<std::uint32_t>(count, UINT16_MAX));
   }
 
-  /// Buckets without a change hold the count before them.
+  /// Buckets without a change repeat the previous count.
   void Advance(TimePoint now)
   {
     const std::int64_t target = std::max(Bucket(now), m_bucket);
--- a/src/routing/prefix_index.cpp
+++ b/src/routing/prefix_index.cpp
@@ -8,9 +8,10 @@
 
 namespace {
 
-/// Record written by this sender only; the engine may have refused or evicted it since.
+/// For records of prompts that this sender sent and no event confirmed: the engine may have refused
+/// or evicted them since.
 constexpr float kPredictionTrust = 0.9F;
-constexpr float kLeastConfidence = 0.05F;
+constexpr float kMinConfidence = 0.05F;
 
 std::uint32_t Ticks(Duration duration)
 {
@@ -48,13 +49,13 @@
   return const_cast<Row*>(std::as_const(*this).Lookup(hash));
 }
 
-PrefixIndex::Row& PrefixIndex::Claim(std::uint64_t hash)
+PrefixIndex::Row& PrefixIndex::FindOrInsert(std::uint64_t hash)
 {
   if (Row* row = Lookup(hash)) {
     return *row;
   }
-  // Memory is fixed: the block nobody used for longest makes room. Callers choose the prompts, so
-  // a growing table would let one of them fill the entry's memory.
+  // The memory is fixed, and the least recently used block of the set is replaced. Callers choose
+  // the prompts, so with a growing table one of them could exhaust the entry's memory.
   const std::size_t sets = m_rows.size() / kWays;
   Row* first = &m_rows[(hash & (sets - 1)) * kWays];
   const auto newest = [](const Row& row) {
@@ -100,7 +101,7 @@
 void PrefixIndex::OnSent(TimePoint now, Slot slot, std::span<const std::uint64_t> hashes)
 {
   for (const std::uint64_t hash : hashes.first(std::min(hashes.size(), m_maxBlocks))) {
-    Add(Claim(hash), slot, Ticks(now), false);
+    Add(FindOrInsert(hash), slot, Ticks(now), false);
   }
 }
 
@@ -117,17 +118,18 @@
   if (reset) {
     feed.validSince = now;
   }
-  // After a gap a record may stand for a block whose removal was in the lost events: prompts would
-  // go to a group for a prefix it no longer holds. Older records count for less from here on.
+  // After a gap, a record may refer to a block whose removal was in the lost events, and prompts
+  // would go to a group for a prefix that it no longer holds. So records from before the gap get
+  // less weight.
   if (gap) {
     feed.gapAt = now;
   }
   if (!late) {
     feed.sequence = sequence;
   }
-  // Events lag behind the requests that this sender has sent since; a removal may only undo what
-  // was known before the time it tells of. One that comes out of order tells of a time before the
-  // gap it left.
+  // Events arrive late, after this sender has sent further requests. A removal therefore applies
+  // only to records older than the time it describes; one that arrives out of order describes a
+  // time before the gap it left.
   const std::uint32_t lagged = Ticks(now) - std::min(Ticks(now), m_lagTicks);
   const std::uint32_t beforeGap = std::max(Ticks(feed.gapAt), 1U) - 1;
   const std::uint32_t removedBefore = late ? std::min(lagged, beforeGap) : lagged;
@@ -136,7 +138,7 @@
   }
   const std::uint32_t addedAt = late ? lagged : Ticks(now);
   for (const std::uint64_t hash : added) {
-    Add(Claim(hash), slot, addedAt, !late);
+    Add(FindOrInsert(hash), slot, addedAt, !late);
   }
 }
 
@@ -167,7 +169,7 @@
         continue;
       }
       const float confidence = Confidence(holder, feeds[holder.slot], tick);
-      if (confidence < kLeastConfidence) {
+      if (confidence < kMinConfidence) {
         continue;
       }
       matches[count++] = { holder.slot, static_cast<std::uint32_t>(index + 1), confidence };
@@ -180,7 +182,7 @@
     return count;
   }
   // Engines evict the deepest blocks first, so "known" is monotone in depth and a bisection finds
-  // the deepest known block; the shallower ones met on the way name groups with shorter matches.
+  // the deepest known block. The shallower blocks visited also give groups with shorter matches.
   std::size_t known = 0;
   while (end - known > 1) {
     const std::size_t middle = known + (end - known) / 2;
--- a/src/routing/prefix_index.hpp
+++ b/src/routing/prefix_index.hpp
@@ -10,21 +10,21 @@
 
 namespace gooseberrysail::impl {
 
-/// \brief Position of a group in the router's tables.
+/// \brief Index of a group in the router's tables.
 using Slot = std::uint16_t;
 inline constexpr Slot kNoSlot = 0xFFFF;
 /// \brief Resolution of the times in the index.
 inline constexpr Duration kPrefixTick = std::chrono::milliseconds(16);
 
-/// \brief How far the events of one group's cache can be trusted.
+/// \brief State of the event stream of one group's cache.
 struct CacheFeed
 {
   std::uint64_t sequence = 0; ///< The latest one applied.
-  TimePoint validSince{};     ///< Older records belong to an emptied cache or a former group.
-  TimePoint gapAt{};          ///< When the latest gap was noticed.
+  TimePoint validSince{};     ///< Older records are of a cleared cache or another group.
+  TimePoint gapAt{};          ///< When the latest gap was detected.
 };
 
-/// \brief A group believed to hold the first `blocks` blocks of a prompt.
+/// \brief A group that probably has the first `blocks` blocks of a prompt in its cache.
 struct PrefixMatch
 {
   Slot slot = kNoSlot;
@@ -32,9 +32,9 @@
   float confidence = 0;
 };
 
-/// \brief Remembers which groups hold which prompt blocks, in fixed memory.
-/// \remarks Each block hash covers the whole prompt up to its end, so one lookup of a deep block
-/// tells of all blocks before it.
+/// \brief Records which groups hold which prompt blocks, in a fixed amount of memory.
+/// \remarks Each block hash covers the whole prompt up to the end of the block, so one lookup of a
+/// deep block covers all blocks before it.
 class PrefixIndex
 {
 public:
@@ -52,7 +52,7 @@
   static constexpr std::size_t kMaxMatches = 32;
   using Matches = std::array<PrefixMatch, kMaxMatches>;
   /// \brief Finds holders of the prompt's leading blocks.
-  /// \returns How many of `matches` were filled; a slot may stand there more than once.
+  /// \returns How many of `matches` were filled; they may contain a slot more than once.
   [[nodiscard]] std::size_t Find(TimePoint now,
                                  std::span<const std::uint64_t> hashes,
                                  std::span<const CacheFeed> feeds,
@@ -77,7 +77,7 @@
 
   [[nodiscard]] const Row* Lookup(std::uint64_t hash) const;
   [[nodiscard]] Row* Lookup(std::uint64_t hash);
-  Row& Claim(std::uint64_t hash);
+  Row& FindOrInsert(std::uint64_t hash);
   void Add(Row& row, Slot slot, std::uint32_t tick, bool confirmed);
   void Remove(std::uint64_t hash, Slot slot, std::uint32_t before);
   [[nodiscard]] float Confidence(const Holder& holder,
--- a/src/routing/retry_budget.hpp
+++ b/src/routing/retry_budget.hpp
@@ -8,10 +8,10 @@
 
 namespace gooseberrysail::impl {
 
-/// \brief Retries earned by first attempts.
-/// \remarks When every group fails or refuses, each retry fails as well and only adds load: with a
-/// fixed number of retries the attempts multiply just when there is no capacity. Earning bounds
-/// them to a fraction of the traffic whatever happens.
+/// \brief Limits retries to a fraction of the first attempts, plus a small rate.
+/// \remarks When every group fails or refuses, each retry fails as well and only adds load. With a
+/// fixed number of retries per request, the attempts would multiply when there is no capacity. The
+/// budget bounds them to a fraction of the traffic in every case.
 class RetryBudget
 {
 public:
@@ -43,7 +43,7 @@
     return std::chrono::duration<double>(m_policy.memory).count();
   }
 
-  /// What is not used fades, so that a quiet hour saves up no storm.
+  /// The unused balance decays, so that a quiet period does not allow a burst of retries.
   void Advance(TimePoint now)
   {
     if (!m_started) {
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -14,10 +14,10 @@
 
 constexpr float kSameDomainAgainPenalty = 100;
 constexpr double kBytesPerKilobyte = 1024;
-constexpr double kLeastUsualLoad = 2;
-/// A group that appears this long after the first use of its entry starts slowly; before, all of
-/// them are new.
-constexpr Duration kSettled = std::chrono::seconds(5);
+constexpr double kMinTypicalLoad = 2;
+/// A group that appears later than this after the first use of its entry gets a slow start. Before,
+/// all groups are new.
+constexpr Duration kInitialPeriod = std::chrono::seconds(5);
 constexpr double kIntervalGain = 0.2;
 
 } // namespace
@@ -33,12 +33,12 @@
   impl::PrefixIndex prefixes;
   impl::RetryBudget retries;
   TimePoint latest{};
-  std::vector<float> hits; ///< Scratch by slot: known part of the prompt, all zero between calls.
+  std::vector<float> hits; ///< Scratch, by slot: cached fraction of the prompt; zero between calls.
 
   Impl(const FailureDomainId& domain,
        std::function<std::uint64_t()> randomHook,
-       const RouterPolicy& thePolicy)
-    : policy(thePolicy)
+       const RouterPolicy& routerPolicy)
+    : policy(routerPolicy)
     , random(std::move(randomHook))
     , prefixes(policy)
     , retries(policy.retry)
@@ -71,7 +71,7 @@
     groups.histories[slot].Set(now, score.own);
   }
 
-  /// \param change Requests that began or ceased to wait for their first byte.
+  /// \param change Change in the number of requests that wait for their first byte.
   void CountAwaiting(TimePoint now, Slot slot, double change)
   {
     impl::GroupHealth& health = groups.health[slot];
@@ -82,8 +82,9 @@
       static_cast<float>(health.awaitingFirst * policy.cost.awaitingFirst);
   }
 
-  /// A cut or cancelled attempt may or may not have had its first byte. Counted as neither, it
-  /// would seem to wait forever, and a group whose callers hang up would look stuck.
+  /// It is unknown whether a failed or cancelled attempt had received its first byte, so the
+  /// average per own request is subtracted. Otherwise it would count as waiting forever, and a
+  /// group whose callers disconnect would appear to hang.
   void CountAbandoned(TimePoint now, Slot slot)
   {
     const double own = std::max<double>(groups.scores[slot].own, 1);
@@ -94,8 +95,7 @@
   {
     const Slot slot = groups.Insert(candidate);
     groups.scores[slot].listed = false;
-    // The slot may have been another group's until just now; its records must not become this
-    // one's.
+    // The slot may have belonged to another group, whose cache records must not apply to this one.
     groups.feeds[slot] = {};
     groups.feeds[slot].validSince = latest + impl::kPrefixTick;
     hits.resize(groups.scores.size());
@@ -107,8 +107,8 @@
     impl::EntryTable& entry = entries[groups.candidates[slot].entry];
     entry.slots.push_back(slot);
     groups.scores[slot].listed = true;
-    groups.health[slot].heardAt = latest;
-    if (entry.used && latest - entry.firstUsed > kSettled) {
+    groups.health[slot].lastSignalAt = latest;
+    if (entry.used && latest - entry.firstUsed > kInitialPeriod) {
       BeginRamp(slot);
       groups.scores[slot].others = static_cast<float>(entry.meanOthers);
     }
@@ -118,10 +118,10 @@
   {
     groups.health[slot].ramping = true;
     groups.health[slot].rampFrom = latest;
-    groups.scores[slot].ownMost = 1;
+    groups.scores[slot].ownLimit = 1;
   }
 
-  void SpreadHits(TimePoint now, const RouteQuery& query);
+  void FillHits(TimePoint now, const RouteQuery& query);
   void ClearHits();
   [[nodiscard]] double Score(TimePoint now, Slot slot, double missCost) const;
   [[nodiscard]] double MissCost(const RouteQuery& query, const impl::EntryTable& entry) const;
@@ -177,7 +177,7 @@
   }
   const auto entry = m_impl->entries.find(groups.candidates[slot].entry);
   std::erase(entry->second.slots, slot);
-  groups.Park(m_impl->latest, slot);
+  groups.Unlist(m_impl->latest, slot);
 }
 
 const RouteCandidate* Router::Find(GroupId group) const
@@ -196,15 +196,15 @@
 double Router::Impl::MissCost(const RouteQuery& query, const impl::EntryTable& entry) const
 {
   const double kilobytes = static_cast<double>(query.promptBytes) / kBytesPerKilobyte;
-  // A prompt that everyone sends would draw all work to the few groups that hold it: what a cached
-  // prefix may outweigh is bounded by the usual load.
-  const double usual = entry.meanOwn + entry.meanOthers + kLeastUsualLoad;
+  // A prompt that everyone sends would attract all requests to the few groups that have it in their
+  // cache. So the weight of a cached prefix is bounded by the typical load.
+  const double typicalLoad = entry.meanOwn + entry.meanOthers + kMinTypicalLoad;
   return std::min({ kilobytes * policy.cost.missedKilobyte,
-                    policy.cost.missedMost,
-                    usual * policy.cost.hotSpot });
+                    policy.cost.maxMissed,
+                    typicalLoad * policy.cost.hotSpot });
 }
 
-void Router::Impl::SpreadHits(TimePoint now, const RouteQuery& query)
+void Router::Impl::FillHits(TimePoint now, const RouteQuery& query)
 {
   matchCount = prefixes.Find(now, query.prefixHashes, groups.feeds, matches);
   const auto blocks =
@@ -240,7 +240,7 @@
   double score = (load + missCost * (1 - hits[slot])) * row.slowness + row.penalty;
   score += row.domain == ownDomain ? 0 : policy.cost.otherDomain;
   score += row.domain == avoidDomain ? kSameDomainAgainPenalty : 0;
-  score += row.own >= row.ownMost ? impl::kOverRampPenalty : 0;
+  score += row.own >= row.ownLimit ? impl::kSlowStartPenalty : 0;
   score += row.backoffUntil > now ? impl::kBackoffPenalty : 0;
   return score;
 }
@@ -254,7 +254,7 @@
   }
   impl::EntryTable& entry = found->second;
   m_impl->Refresh(now, entry);
-  m_impl->SpreadHits(now, query);
+  m_impl->FillHits(now, query);
   m_impl->avoidDomain = m_impl->LastTriedDomain(query);
 
   const double missCost = m_impl->MissCost(query, entry);
@@ -277,8 +277,9 @@
       bestScore = score;
     }
   };
-  // Beyond the scan limit this is a random window plus the holders of the prefix. Unusable groups
-  // in the window don't count, or a window of closed ones would look like no capacity at all.
+  // With more groups than the scan limit, a random window and the holders of the prefix are scored.
+  // Closed groups do not count towards the limit, since a window of closed groups only would give
+  // no result although others are open.
   std::size_t usable = 0;
   for (std::size_t step = 0; step < count && usable < scan; ++step) {
     usable += m_impl->groups.scores[entry.slots[at]].open ? 1 : 0;
@@ -319,7 +320,7 @@
   }
   m_impl->CountAwaiting(now, slot, -1);
   m_impl->groups.health[slot].first.Complete();
-  m_impl->groups.health[slot].heardAt = now;
+  m_impl->groups.health[slot].lastSignalAt = now;
 }
 
 void Router::OnFinished(TimePoint now, GroupId group, AttemptResult result, Duration)
@@ -332,18 +333,18 @@
   switch (result) {
     case AttemptResult::kCompleted:
       health.whole.Complete();
-      health.heardAt = now;
+      health.lastSignalAt = now;
       health.failures = 0;
       health.refusals = 0;
       break;
     case AttemptResult::kRefused: {
       m_impl->CountAwaiting(now, slot, -1);
-      health.heardAt = now;
+      health.lastSignalAt = now;
       const auto doublings = std::min<std::uint32_t>(health.refusals++, 8);
       const Duration backoff =
         m_impl->policy.retry.refusalBackoff * (std::int64_t{ 1 } << doublings);
       m_impl->groups.scores[slot].backoffUntil =
-        now + std::min(backoff, m_impl->policy.retry.refusalBackoffMost);
+        now + std::min(backoff, m_impl->policy.retry.refusalBackoffMax);
       break;
     }
     case AttemptResult::kFailed:
@@ -368,8 +369,8 @@
   }
   impl::GroupScore& score = m_impl->groups.scores[slot];
   impl::GroupHealth& health = m_impl->groups.health[slot];
-  const TimePoint tellsOf = now - load.age;
-  if (tellsOf < health.reportedFor) {
+  const TimePoint observedAt = now - load.age;
+  if (observedAt < health.reportObservedAt) {
     return;
   }
   const bool opened = !score.open && load.open && !load.leaving;
@@ -378,11 +379,11 @@
     m_impl->BeginRamp(slot);
   }
   const double total = load.running + load.queued;
-  const double own = m_impl->groups.histories[slot].At(tellsOf);
+  const double own = m_impl->groups.histories[slot].At(observedAt);
   const double others = std::max(0.0, total - own);
   const double gain = health.reportArrived == TimePoint{} ? 1 : m_impl->policy.aging.loadGain;
   health.reportedOthers += gain * (others - health.reportedOthers);
-  health.reportedFor = tellsOf;
+  health.reportObservedAt = observedAt;
   if (health.reportArrived != TimePoint{}) {
     const Duration gap = now - health.reportArrived;
     const auto intervalGain = health.reportInterval == Duration{} ? 1 : kIntervalGain;
@@ -390,7 +391,7 @@
       std::chrono::duration_cast<Duration>((gap - health.reportInterval) * intervalGain);
   }
   health.reportArrived = now;
-  health.heardAt = now;
+  health.lastSignalAt = now;
 }
 
 void Router::OnCacheReport(TimePoint now,
--- a/src/routing/sojourn.hpp
+++ b/src/routing/sojourn.hpp
@@ -7,13 +7,14 @@
 
 namespace gooseberrysail::impl {
 
-/// \brief Mean time requests spend in a stage, by Little's law: waiting seconds per completion.
-/// \remarks A mean over finished requests alone never hears of those that hang: a stuck engine
-/// would keep the good figure of its last answer. Here each second that a request waits counts.
+/// \brief Mean time that requests spend in a stage, by Little's law: waiting seconds per
+/// completion. \remarks A mean over finished requests does not include those that hang, so an
+/// engine that hangs would keep the mean of its earlier answers. Here each second that a request
+/// waits is counted.
 class Sojourn
 {
 public:
-  /// \brief Counts the time up to `now` with the number that was waiting until now.
+  /// \brief Accounts for the time up to `now`, during which `waiting` requests were waiting.
   void Advance(TimePoint now, double waiting)
   {
     if (now <= m_at) {
@@ -21,7 +22,7 @@
     }
     const double seconds = std::chrono::duration<double>(now - m_at).count();
     const double keep = std::exp(-seconds / m_memory);
-    // The integral of `waiting` over the gap, decayed as it grows.
+    // The exponentially decayed integral of `waiting` over the elapsed time.
     m_waited = m_waited * keep + waiting * m_memory * (1 - keep);
     m_completed *= keep;
     m_at = now;
@@ -29,7 +30,7 @@
 
   void Complete() { m_completed += 1; }
 
-  /// \brief Mean seconds, drawn towards `peers` while there is little evidence.
+  /// \brief Mean seconds, biased towards `peers` while there are few completions.
   [[nodiscard]] double Mean(double peers) const
   {
     return (m_waited + kPrior * peers) / (m_completed + kPrior);
@@ -37,7 +38,8 @@
 
   [[nodiscard]] double Raw() const { return m_completed < 1 ? 0 : m_waited / m_completed; }
   [[nodiscard]] double Completed() const { return m_completed; }
-  /// \brief Completions that peers would have had in the time spent waiting here.
+  /// \brief Number of completions, or if larger, the number that peers would have had in the
+  /// waiting time.
   [[nodiscard]] double Evidence(double peers) const
   {
     return std::max(m_completed, peers > 0 ? m_waited / peers : 0);
@@ -45,11 +47,11 @@
 
   [[nodiscard]] double PerSecond() const { return m_completed / m_memory; }
 
-  /// \brief How long an answer counts: short where there are many, or a group that was well for
-  /// long would be taken to be well for long after.
+  /// \brief Sets the time constant of the decay. It is short where answers are frequent; otherwise
+  /// a group that became slow would keep its earlier good mean for long.
   void SetMemory(double seconds) { m_memory = seconds; }
 
-  void Forget(TimePoint now)
+  void Reset(TimePoint now)
   {
     m_waited = 0;
     m_completed = 0;
--- a/tests/support/routing.hpp
+++ b/tests/support/routing.hpp
@@ -12,7 +12,7 @@
 
 namespace gooseberrysail::testing {
 
-/// \brief One router before groups whose answers take scripted times.
+/// \brief A router with simulated groups whose answer times and results are configurable.
 class RouterWorld
 {
 public:
@@ -63,7 +63,7 @@
     router.OnLoad(now, GroupId(group), load);
   }
 
-  /// \brief Sends to the chosen group and plans the end of it.
+  /// \brief Sends a request to the chosen group and schedules its end.
   GroupId Send()
   {
     const GroupId group = router.Choose(now, Query()).value();
@@ -71,34 +71,35 @@
     ++sent[group.Get()];
     ++inFlight[group.Get()];
     peak = std::max(peak, inFlight[group.Get()]);
-    const Duration takes = answerTime(group.Get());
-    m_endings.emplace(now + takes, group);
+    const Duration duration = answerTime(group.Get());
+    m_scheduledEnds.emplace(now + duration, group);
     return group;
   }
 
-  /// \brief Lets time pass: ends answers, reports each half second, sends at the rate.
+  /// \brief Advances the time: ends answers, sends reports every half second and requests at the
+  /// rate.
   void Run(Duration length, double perSecond)
   {
     constexpr Duration kStep = std::chrono::milliseconds(10);
     const TimePoint end = now + length;
-    double due = 0;
+    double pending = 0;
     for (; now < end; now += kStep) {
-      EndDue();
+      EndDueAnswers();
       if (now.time_since_epoch() % std::chrono::milliseconds(500) == Duration{}) {
         ReportAll();
       }
-      for (due += perSecond / 100; due >= 1; due -= 1) {
+      for (pending += perSecond / 100; pending >= 1; pending -= 1) {
         Send();
       }
     }
   }
 
 private:
-  void EndDue()
+  void EndDueAnswers()
   {
-    while (!m_endings.empty() && m_endings.begin()->first <= now) {
-      const GroupId group = m_endings.begin()->second;
-      m_endings.erase(m_endings.begin());
+    while (!m_scheduledEnds.empty() && m_scheduledEnds.begin()->first <= now) {
+      const GroupId group = m_scheduledEnds.begin()->second;
+      m_scheduledEnds.erase(m_scheduledEnds.begin());
       --inFlight[group.Get()];
       const AttemptResult result = answer(group.Get());
       if (result == AttemptResult::kCompleted) {
@@ -116,7 +117,7 @@
   }
 
   std::mt19937_64 m_random;
-  std::multimap<TimePoint, GroupId> m_endings;
+  std::multimap<TimePoint, GroupId> m_scheduledEnds;
 
 public:
   Router router;
@@ -125,7 +126,7 @@
   std::set<std::uint64_t> reporting; ///< Groups whose load reports arrive.
   std::map<std::uint64_t, std::uint32_t> sent;
   std::map<std::uint64_t, std::uint32_t> inFlight;
-  std::uint32_t peak = 0; ///< Most in flight at one group so far.
+  std::uint32_t peak = 0; ///< Maximum in flight at one group so far.
   std::function<Duration(std::uint64_t)> answerTime = [](std::uint64_t) {
     return std::chrono::seconds(1);
   };
--- a/tests/unit/router_failure_test.cpp
+++ b/tests/unit/router_failure_test.cpp
@@ -8,9 +8,8 @@
 using std::chrono::seconds;
 using testing::RouterWorld;
 
-// Symptom: a request fails twice though two thirds of the groups are well.
-// Sequence: its failure domain goes dark; the retry goes to the neighbour, which is just as dark.
-// Cause: the nearest and least loaded groups are those of the domain that failed.
+// When a failure domain is down, its groups are the nearest and have the least load. A retry that
+// went there would fail again although two thirds of the groups are healthy.
 TEST(RouterFailure, ARetryGoesToAnotherFailureDomain)
 {
   RouterWorld world(9);
@@ -27,7 +26,7 @@
     const GroupId next = world.router.Choose(world.now, retry).value();
     EXPECT_NE(RouterWorld::DomainOf(next.Get()), RouterWorld::DomainOf(3));
   }
-  SECTION("unless there is no other")
+  SECTION("unless there is no other domain")
   {
     for (const std::uint64_t gone : { 1, 2, 4, 5, 7, 8 }) {
       world.router.Remove(GroupId(gone));
@@ -36,26 +35,26 @@
   }
 }
 
-// Symptom: a third of the new requests wait for a timeout until control has noticed.
-// Sequence: a failure domain goes dark at once; its groups seem to have less and less in flight.
-// Cause: each group is found dead by itself, at the price of a request.
-TEST(RouterFailure, ADarkDomainIsLeftOutAsAWhole)
+// When a failure domain goes down, its groups appear to have less and less load. If each were
+// detected on its own at the cost of a request, a third of the new requests would time out until
+// control has removed the groups.
+TEST(RouterFailure, AnUnreachableDomainIsAvoidedAsAWhole)
 {
   RouterWorld world(30);
   world.Run(seconds(10), 100);
-  const auto isDark = [](std::uint64_t group) { return group % 3 == 2; };
-  // The connection is given up after a second and a half of silence.
+  const auto isUnreachable = [](std::uint64_t group) { return group % 3 == 2; };
+  // The connection is closed after 1.5 s of silence.
   world.answerTime = [&](std::uint64_t group) {
-    return isDark(group) ? Duration(milliseconds(1500)) : Duration(seconds(1));
+    return isUnreachable(group) ? Duration(milliseconds(1500)) : Duration(seconds(1));
   };
   world.answer = [&](std::uint64_t group) {
-    return isDark(group) ? AttemptResult::kFailed : AttemptResult::kCompleted;
+    return isUnreachable(group) ? AttemptResult::kFailed : AttemptResult::kCompleted;
   };
-  std::erase_if(world.reporting, isDark);
+  std::erase_if(world.reporting, isUnreachable);
   const auto sentThere = [&] {
     std::uint32_t count = 0;
     for (const auto& [group, sent] : world.sent) {
-      count += isDark(group) ? sent : 0;
+      count += isUnreachable(group) ? sent : 0;
     }
     return count;
   };
@@ -64,7 +63,7 @@
   world.Run(seconds(5), 100);
   EXPECT_LE(sentThere(), 2U);
 
-  SECTION("and used again when it reports again")
+  SECTION("and used again when its reports resume")
   {
     world.answerTime = [](std::uint64_t) { return seconds(1); };
     world.answer = [](std::uint64_t) { return AttemptResult::kCompleted; };
@@ -78,10 +77,9 @@
   }
 }
 
-// Symptom: load on the network and the agents trebles just when nothing works.
-// Sequence: every attempt fails at once; every request retries as often as it may.
-// Cause: retries are bounded for each request, not for all of them.
-TEST(RouterFailure, TotalFailureMakesNoRetryStorm)
+// If retries were only limited per request, the load on the network and the agents would triple
+// when every attempt fails.
+TEST(RouterFailure, TotalFailureCausesNoRetryStorm)
 {
   RouterWorld world(9);
   constexpr int kRequests = 2000;
@@ -103,10 +101,9 @@
   EXPECT_GT(attempts, kRequests); // Some retries must be left.
 }
 
-// Symptom: slow first tokens for seconds after each repair.
-// Sequence: a repaired group comes back empty, with a cold cache; every new request goes there.
-// Cause: it has the least in flight until it has caught up with the others.
-TEST(RouterFailure, AReturningGroupStartsSlowly)
+// A repaired group returns with the least load and a cold cache. If it got every new request until
+// it has as many as the others, first tokens would be slow for seconds.
+TEST(RouterFailure, AReturningGroupGetsASlowStart)
 {
   RouterWorld world(9);
   world.answerTime = [](std::uint64_t) { return seconds(4); };
@@ -114,19 +111,19 @@
   world.Announce(10);
   world.sent.clear();
   world.Run(seconds(1), 50);
-  EXPECT_LE(world.sent[10], 6U); // Unbounded it would get about 22.
+  EXPECT_LE(world.sent[10], 6U); // Without a limit it would get about 22.
 
-  SECTION("and carries its part in the end")
+  SECTION("and has its full part of the load in the end")
   {
     world.Run(seconds(20), 50);
     EXPECT_GE(world.inFlight[10], 12U);
   }
 }
 
-// Symptom: after each lost connection a group is overfilled and its cached prefixes are forgotten.
-// Sequence: the connection to its agent dies and is replaced; the answers go on over the new one.
-// Cause: a group off the list is taken for a group that ended.
-TEST(RouterFailure, AGroupThatComesBackIsTheSameGroup)
+// When the connection to a group's agent is lost and replaced, its answers continue on the new one.
+// If the group's data were erased meanwhile, it would be overfilled and its cached prefixes
+// unknown.
+TEST(RouterFailure, AReturningGroupKeepsItsState)
 {
   RouterWorld world(5);
   world.prompt = { 1, 2, 3, 4 };
@@ -138,7 +135,7 @@
   for (int i = 0; i < 20; ++i) {
     EXPECT_NE(world.router.Choose(world.now, world.Query()), group);
   }
-  SECTION("back on the list with what still runs there and its cache")
+  SECTION("listed again, it has its running requests and its cached prefixes")
   {
     world.Announce(group.Get());
     EXPECT_EQ(world.router.Load(RouterWorld::Model()).inFlight, 1);
@@ -146,7 +143,7 @@
     world.router.OnFinished(world.now, group, AttemptResult::kCompleted, {});
     EXPECT_EQ(world.router.Load(RouterWorld::Model()).inFlight, 0);
   }
-  SECTION("a new epoch is a new start")
+  SECTION("a new epoch starts without them")
   {
     RouteCandidate formed = *world.router.Find(group);
     formed.epoch = Epoch(9);
@@ -157,10 +154,9 @@
   }
 }
 
-// Symptom: a group that cuts every answer keeps getting requests.
-// Sequence: its failures are fast, so it always has the least in flight.
-// Cause: failing fast looks like being free.
-TEST(RouterFailure, AGroupThatFailsFastIsLeftOut)
+// A group that fails every request quickly always has the least load, and must not keep getting
+// requests because of it.
+TEST(RouterFailure, AGroupThatFailsFastIsEjected)
 {
   RouterWorld world(5);
   int failed = 0;
--- a/tests/unit/router_load_test.cpp
+++ b/tests/unit/router_load_test.cpp
@@ -8,10 +8,9 @@
 using std::chrono::seconds;
 using testing::RouterWorld;
 
-// Symptom: a busy group gets all new work.
-// Sequence: it reported itself idle, then its reports stopped arriving; its peers report thirty
-// each. Cause: the old report is taken for the present.
-TEST(RouterLoad, AStaleReportOfAnIdleMomentDoesNotDrawAllWork)
+// A group reported no load, and then its reports stopped arriving while its peers report thirty
+// requests each. If the old report were used unchanged, the group would get all new requests.
+TEST(RouterLoad, AnOldReportOfAnIdleGroupDoesNotAttractAllRequests)
 {
   RouterWorld world(4);
   world.Report(1, 0, {});
@@ -26,10 +25,9 @@
   EXPECT_LE(world.sent[1], 9U);
 }
 
-// Symptom: groups with own work look twice as loaded, or others' work vanishes when own work ends.
-// Sequence: five requests are sent; a report that counts them arrives after they ended.
-// Cause: the report is of the past, the own count of now.
-TEST(RouterLoad, OwnWorkIsNotCountedAgainInReports)
+// A report describes the past, so own requests must be subtracted as of that time. Otherwise own
+// requests count twice, or other senders' requests disappear when own requests end.
+TEST(RouterLoad, OwnRequestsAreNotCountedAgainInReports)
 {
   RouterWorld world(1);
   const GroupId group(1);
@@ -37,7 +35,7 @@
     world.router.OnSent(world.now, group, world.Query());
   }
   world.now += seconds(1);
-  SECTION("a report that includes the five")
+  SECTION("a report that includes the five own requests")
   {
     world.Report(1, 5, milliseconds(100));
     static_cast<void>(world.router.Choose(world.now, world.Query()));
@@ -56,11 +54,10 @@
   }
 }
 
-// Symptom: bursts of slow first tokens travel over the groups in step with the reports.
-// Sequence: one report says a group is empty; each of several entries sends it all its new work
-// until the next report.
-// Cause: every entry acts in full on the same delayed figure.
-TEST(RouterLoad, OneReportDoesNotMoveAllWorkAtOnce)
+// When a report shows a group without load, several entries act on the same outdated value. If each
+// sent all its new requests there until the next report, first tokens would be slow at one group
+// after the other.
+TEST(RouterLoad, OneReportDoesNotAttractAllRequests)
 {
   RouterWorld world(4);
   for (int report = 0; report < 20; ++report) {
@@ -78,10 +75,9 @@
   EXPECT_LE(world.sent[1], 10U);
 }
 
-// Symptom: a group whose gate is shut keeps getting requests, each refused.
-// Sequence: it refuses one; the next choice falls on it again, since it has nothing in flight.
-// Cause: least loaded and unusable look the same.
-TEST(RouterLoad, ARefusingGroupIsLeftAloneForAWhile)
+// A group that refuses requests has no load. Without a back-off it would be chosen again and again,
+// and would refuse each request.
+TEST(RouterLoad, ARefusingGroupIsBackedOff)
 {
   RouterWorld world(2);
   world.router.OnSent(world.now, GroupId(1), world.Query());
@@ -89,7 +85,7 @@
   for (int i = 0; i < 5; ++i) {
     EXPECT_EQ(world.Send(), GroupId(2));
   }
-  SECTION("then it is asked again")
+  SECTION("then it is tried again")
   {
     world.now += seconds(1);
     EXPECT_EQ(world.Send(), GroupId(1));
--- a/tests/unit/router_prefix_test.cpp
+++ b/tests/unit/router_prefix_test.cpp
@@ -44,10 +44,9 @@
   std::vector<std::uint64_t> prompt{ 101, 102, 103, 104 };
 };
 
-// Symptom: prompts go on being sent to a group for prefixes it dropped long ago.
-// Sequence: a batch of events is lost, among them the removal.
-// Cause: nothing will ever take the record back.
-TEST_F(PrefixIndexTest, AGapInTheEventsLowersTrustInWhatWasKnownBefore)
+// If a lost batch of events contained a removal, nothing would erase the record, and prompts would
+// still be sent to the group for a prefix that it evicted long ago.
+TEST_F(PrefixIndexTest, AGapInTheEventsReducesConfidenceInOlderRecords)
 {
   Report(1, prompt, {});
   EXPECT_GT(Confidence(prompt), 0.95F);
@@ -55,7 +54,7 @@
   Report(5, {}, {});
   EXPECT_LT(Confidence(prompt), 0.6F);
   EXPECT_GT(Confidence(prompt), 0.3F);
-  SECTION("what is seen again counts in full")
+  SECTION("a record confirmed again has its full weight")
   {
     now += seconds(1);
     Report(6, prompt, {});
@@ -63,16 +62,15 @@
   }
 }
 
-// Symptom: a conversation's second turn goes to another group and is prefilled anew.
-// Sequence: a removal that tells of the time before the first turn arrives after it was sent.
-// Cause: cache events are late, and the newer own record is undone by the older news.
-TEST_F(PrefixIndexTest, ALateRemovalDoesNotUndoWhatWasSentSince)
+// Cache events arrive late. If a removal from before a conversation's first turn erased the newer
+// record of that turn, the second turn would go to another group and be prefilled again.
+TEST_F(PrefixIndexTest, ALateRemovalKeepsRecordsOfLaterRequests)
 {
   index.OnSent(now, kSlot, prompt);
   now += milliseconds(700);
   Report(1, {}, prompt);
   EXPECT_GT(Confidence(prompt), 0.8F);
-  SECTION("a removal that can only be newer does")
+  SECTION("a removal that must be newer does")
   {
     now += seconds(5);
     Report(2, {}, prompt);
@@ -80,8 +78,8 @@
   }
 }
 
-// Symptom and cause as above; here two batches overtook each other.
-TEST_F(PrefixIndexTest, ABatchOutOfOrderDoesNotUndoTheOneAfterIt)
+// The same, where two batches arrive in the wrong order.
+TEST_F(PrefixIndexTest, ABatchOutOfOrderKeepsRecordsOfTheOneAfterIt)
 {
   Report(1, {}, {});
   now += milliseconds(100);
@@ -91,7 +89,7 @@
   EXPECT_GT(Confidence(prompt), 0.9F);
 }
 
-TEST_F(PrefixIndexTest, AResetForgetsTheGroup)
+TEST_F(PrefixIndexTest, AResetClearsTheRecordsOfTheGroup)
 {
   Report(1, prompt, {});
   now += seconds(1);
@@ -99,10 +97,9 @@
   EXPECT_EQ(Confidence(prompt), 0);
 }
 
-// Symptom: an entry grows until it is killed.
-// Sequence: a caller sends a million different prompts.
-// Cause: a record for each of them.
-TEST_F(PrefixIndexTest, MemoryStaysFixedAndTheLatestIsKept)
+// With a record for each prompt, a caller that sends a million different prompts would exhaust the
+// entry's memory.
+TEST_F(PrefixIndexTest, MemoryStaysFixedAndTheLatestRecordsAreKept)
 {
   const std::size_t before = index.Bytes();
   std::mt19937_64 random(3);
@@ -116,7 +113,7 @@
   EXPECT_GT(Confidence(other), 0.5F);
 }
 
-TEST(RouterPrefix, SendsAPromptWhereItsBeginningIsCached)
+TEST(RouterPrefix, SendsAPromptWhereItsPrefixIsCached)
 {
   RouterWorld world(10);
   world.prompt = { 1, 2, 3, 4, 5, 6, 7, 8 };
@@ -125,7 +122,7 @@
   world.prompt = { 1, 2, 3, 4, 5, 6, 7, 8, 9, 10 };
   EXPECT_EQ(world.Send(), first);
 
-  SECTION("a new group in its place in the tables holds nothing")
+  SECTION("a new group in the same slot has no cached prefixes")
   {
     world.router.Remove(first);
     world.Announce(20);
@@ -137,10 +134,9 @@
   }
 }
 
-// Symptom: one group is swamped while its peers idle.
-// Sequence: every prompt begins with the same long instructions, known to one group.
-// Cause: the saved prefill outweighs any queue.
-TEST(RouterPrefix, APromptThatAllSendMakesNoHotSpot)
+// Every prompt begins with the same long instructions, which one group has in its cache. If the
+// saved prefill outweighed any load, that group would be overloaded while its peers are idle.
+TEST(RouterPrefix, ACommonPrefixCausesNoHotSpot)
 {
   RouterWorld world(10);
   for (std::uint64_t block = 1; block <= 64; ++block) {
--- a/tests/unit/router_straggler_test.cpp
+++ b/tests/unit/router_straggler_test.cpp
@@ -9,17 +9,16 @@
 
 constexpr std::uint64_t kStraggler = 4;
 
-// Symptom: one request in thirty takes several times as long as the others.
-// Sequence: a group's accelerator throttles; its answers stay right but come six times later.
-// Cause: with few requests in flight it looks as free as any other group.
-TEST(RouterStraggler, IsLeftOutAndComesBackSlowly)
+// A group whose accelerator throttles gives correct answers that take six times as long. By its
+// number of requests in flight alone it could not be distinguished from the others.
+TEST(RouterStraggler, IsEjectedAndReturnsWithASlowStart)
 {
   RouterWorld world(10);
   world.Run(seconds(10), 50);
   EXPECT_FALSE(world.router.IsEjected(world.now, GroupId(kStraggler)));
 
   world.answerTime = [](std::uint64_t group) { return seconds(group == kStraggler ? 6 : 1); };
-  SECTION("left out once its times show")
+  SECTION("ejected once its answer times are known")
   {
     bool ejected = false;
     for (int i = 0; i < 10; ++i) {
@@ -28,13 +27,13 @@
     }
     EXPECT_TRUE(ejected);
   }
-  SECTION("while it stays slow it gets next to nothing")
+  SECTION("while it stays slow it gets few requests")
   {
     world.sent.clear();
     world.Run(seconds(30), 50);
-    EXPECT_LT(world.sent[kStraggler], 30U); // A fair part would be 150.
+    EXPECT_LT(world.sent[kStraggler], 30U); // An equal part would be 150.
   }
-  SECTION("healthy again, it is given work bit by bit and in the end as much as the others")
+  SECTION("healthy again, it gets more and more requests, and in the end as many as the others")
   {
     world.answerTime = [](std::uint64_t) { return seconds(1); };
     world.Run(seconds(75), 50);
@@ -45,10 +44,9 @@
   }
 }
 
-// Symptom: a group that was left out is slow again within seconds of its return.
-// Sequence: it comes back with nothing in flight and gets all new work at once.
-// Cause: its emptiness is taken for speed.
-TEST(RouterStraggler, ReturnsWithLittleWorkAtFirst)
+// An ejected group returns without requests in flight. If it got all new requests at once, it would
+// be slow again within seconds.
+TEST(RouterStraggler, ReturnsWithFewRequestsAtFirst)
 {
   RouterWorld world(9);
   world.answerTime = [](std::uint64_t) { return seconds(4); };
@@ -68,10 +66,9 @@
   EXPECT_GE(world.sent[kStraggler], 1U);
 }
 
-// Symptom: requests sent to one group never end, and more and more are sent there.
-// Sequence: an engine hangs after good answers; no further answer changes its mean time.
-// Cause: a mean over finished requests does not see those that wait.
-TEST(RouterStraggler, AnEngineThatHangsIsFoundWithoutAnAnswerFromIt)
+// An engine that hangs completes no further requests, so a mean over completed requests would stay
+// good, and more and more requests would be sent there.
+TEST(RouterStraggler, AnEngineThatHangsIsDetectedWithoutAnAnswer)
 {
   RouterWorld world(10);
   world.Run(seconds(10), 50);
@@ -84,10 +81,9 @@
   EXPECT_LT(world.sent[kStraggler], 20U);
 }
 
-// Symptom: under load the healthy rest of the fleet breaks down as well.
-// Sequence: four groups of ten become slow; all are left out; their load falls on the other six.
-// Cause: leaving out is meant for single groups, not for a lack of capacity.
-TEST(RouterStraggler, NeverMoreThanAShareIsLeftOut)
+// Ejection is meant for single groups, not for a lack of capacity. If four slow groups of ten were
+// all ejected, their load would overload the other six.
+TEST(RouterStraggler, NoMoreThanAFractionIsEjected)
 {
   RouterWorld world(10);
   world.Run(seconds(10), 50);
--- a/tests/unit/router_test.cpp
+++ b/tests/unit/router_test.cpp
@@ -24,7 +24,7 @@
   return query;
 }
 
-LoadObservation ClosedGate()
+LoadObservation ClosedLoad()
 {
   LoadObservation load;
   load.open = false;
@@ -40,29 +40,29 @@
   const RouteQuery query = Query();
   const TimePoint now{};
 
-  SECTION("both idle: the own failure domain is nearer")
+  SECTION("both idle: the own failure domain is preferred")
   {
     EXPECT_EQ(router.Choose(now, query), GroupId(1));
   }
-  SECTION("the near one is busy")
+  SECTION("the group in the own domain is busy")
   {
     router.OnSent(now, GroupId(1), query);
     router.OnSent(now, GroupId(1), query);
     EXPECT_EQ(router.Choose(now, query), GroupId(2));
   }
-  SECTION("the far one was tried")
+  SECTION("the group in the other domain was tried")
   {
     const std::vector<GroupId> tried{ GroupId(2) };
     RouteQuery retry = query;
     retry.tried = tried;
     EXPECT_EQ(router.Choose(now, retry), GroupId(1));
   }
-  SECTION("the far one closed its gate")
+  SECTION("the group in the other domain is closed")
   {
-    router.OnLoad(now, GroupId(2), ClosedGate());
+    router.OnLoad(now, GroupId(2), ClosedLoad());
     EXPECT_EQ(router.Choose(now, query), GroupId(1));
   }
-  SECTION("nobody serves another entry")
+  SECTION("no group serves the entry")
   {
     EXPECT_EQ(router.Choose(now, Query("booking-portal")), std::nullopt);
   }
