--- a/bench/routing.cpp
+++ b/bench/routing.cpp
@@ -1,9 +1,9 @@
-// Routing and admission against the usual baselines, on small stand-ins for engines.
+// Compares routing and admission with common baselines, on a simple model of engines.
 //
-//   bench_routing            tuning seeds, all cases
-//   bench_routing --held-out the seeds that no constant was chosen with
+//   bench_routing            all cases, with the seeds used for tuning
+//   bench_routing --held-out all cases, with seeds that were not used to choose any constant
 //   bench_routing --cost     decision time and memory by number of known replicas
-//   bench_routing --limits   error of workspace limits shared by several entries
+//   bench_routing --limits   error of workspace limits divided between several entries
 
 #include "routing/cost.hpp"
 #include "routing/limits.hpp"
@@ -24,7 +24,7 @@
                                 Policy::kRoundRobin,
                                 Policy::kLeastInFlight,
                                 Policy::kLeastWithAdmission,
-                                Policy::kOurs };
+                                Policy::kRouter };
 
 std::vector<Scenario> Scenarios()
 {
@@ -40,7 +40,7 @@
   std::vector<Scenario> all{ make("steady", Fault::kNone, kSteady),
                              make("overload 2x", Fault::kNone, kTwiceCapacity),
                              make("straggler", Fault::kStraggler, kSteady),
-                             make("dark domain", Fault::kDarkDomain, kSteady),
+                             make("dark domain", Fault::kUnreachableDomain, kSteady),
                              make("returning target", Fault::kReturningTarget, kSteady) };
   all.push_back(make("unrelated prompts", Fault::kNone, kSteady));
   all.back().work = Work::kUnrelatedPrompts;
@@ -124,13 +124,13 @@
   }
 }
 
-/// Who bears the refusals when there are too many calls.
+/// How refusals are distributed when there are too many calls.
 void RunOverloadLosses(std::span<const unsigned> seeds)
 {
   std::printf(
     "\noverload 2x: lost calls by class, and by workspace from 30%% of all calls to 1%%\n");
   const Scenario scenario = Scenarios()[1];
-  for (const Policy policy : { Policy::kLeastInFlight, Policy::kOurs }) {
+  for (const Policy policy : { Policy::kLeastInFlight, Policy::kRouter }) {
     std::array<Losses, 3> byClass;
     std::array<Losses, kWorkspaces> byWorkspace;
     for (const unsigned seed : seeds) {
--- a/bench/routing/chooser.hpp
+++ b/bench/routing/chooser.hpp
@@ -16,8 +16,8 @@
   kRandom,
   kRoundRobin,
   kLeastInFlight,
-  kLeastWithAdmission, ///< Tells what of the result admission alone brings.
-  kOurs,
+  kLeastWithAdmission, ///< Shows the effect of admission alone.
+  kRouter,
 };
 
 inline std::string_view Name(Policy policy)
@@ -31,7 +31,7 @@
       return "least in flight";
     case Policy::kLeastWithAdmission:
       return "least + admission";
-    case Policy::kOurs:
+    case Policy::kRouter:
       return "ours";
   }
   return "";
@@ -39,10 +39,11 @@
 
 inline bool UsesAdmission(Policy policy)
 {
-  return policy == Policy::kOurs || policy == Policy::kLeastWithAdmission;
+  return policy == Policy::kRouter || policy == Policy::kLeastWithAdmission;
 }
 
-/// \brief One entry process's choice, by our Router or by a baseline that knows its own requests.
+/// \brief The choices of one entry process, by the Router or by a baseline that knows its own
+/// requests.
 class Chooser
 {
 public:
@@ -64,21 +65,21 @@
   void Upsert(const RouteCandidate& candidate)
   {
     router.Upsert(candidate);
-    m_own.try_emplace(candidate.group, 0);
+    m_inFlight.try_emplace(candidate.group, 0);
   }
   void Remove(GroupId group)
   {
     router.Remove(group);
-    m_own.erase(group);
+    m_inFlight.erase(group);
   }
 
   std::optional<GroupId> Choose(TimePoint now, const RouteQuery& query)
   {
-    if (m_policy == Policy::kOurs) {
+    if (m_policy == Policy::kRouter) {
       return router.Choose(now, query);
     }
     std::vector<GroupId> usable;
-    for (const auto& [group, own] : m_own) {
+    for (const auto& [group, inFlight] : m_inFlight) {
       if (std::ranges::find(query.tried, group) == query.tried.end()) {
         usable.push_back(group);
       }
@@ -93,36 +94,38 @@
     if (m_policy == Policy::kRandom) {
       return usable.front();
     }
-    return *std::ranges::min_element(usable, {}, [this](GroupId group) { return m_own.at(group); });
+    return *std::ranges::min_element(
+      usable, {}, [this](GroupId group) { return m_inFlight.at(group); });
   }
 
   void OnSent(TimePoint now, GroupId group, const RouteQuery& query)
   {
     router.OnSent(now, group, query);
-    if (const auto own = m_own.find(group); own != m_own.end()) {
-      ++own->second;
+    if (const auto inFlight = m_inFlight.find(group); inFlight != m_inFlight.end()) {
+      ++inFlight->second;
     }
   }
   void OnFinished(TimePoint now, GroupId group, AttemptResult result, Duration sinceSent)
   {
     router.OnFinished(now, group, result, sinceSent);
-    if (const auto own = m_own.find(group); own != m_own.end() && own->second > 0) {
-      --own->second;
+    if (const auto inFlight = m_inFlight.find(group);
+        inFlight != m_inFlight.end() && inFlight->second > 0) {
+      --inFlight->second;
     }
   }
 
-  /// \brief Baselines retry a fixed number of times, as is usual.
+  /// \brief Baselines retry a fixed number of times, as is common.
   [[nodiscard]] bool MayRetry(TimePoint now, std::size_t attempts)
   {
     constexpr std::size_t kBaselineAttempts = 3;
-    return m_policy == Policy::kOurs ? attempts < kBaselineAttempts && router.TakeRetry(now)
-                                     : attempts < kBaselineAttempts;
+    return m_policy == Policy::kRouter ? attempts < kBaselineAttempts && router.TakeRetry(now)
+                                       : attempts < kBaselineAttempts;
   }
 
 private:
   Policy m_policy;
   std::mt19937_64 m_random;
-  std::map<GroupId, std::uint32_t> m_own;
+  std::map<GroupId, std::uint32_t> m_inFlight;
   std::size_t m_turn = 0;
 
 public:
--- a/bench/routing/cost.hpp
+++ b/bench/routing/cost.hpp
@@ -15,7 +15,7 @@
 
 namespace gooseberrysail::bench {
 
-/// \brief Decision time and memory of one router by the number of groups it knows.
+/// \brief Measures the decision time and memory of one router by the number of known groups.
 class CostBench
 {
 public:
@@ -93,7 +93,7 @@
     std::vector<std::array<std::uint64_t, kBlocks>> prompts(4096);
     for (auto& prompt : prompts) {
       for (std::size_t block = 0; block < kBlocks; ++block) {
-        // Even prompts repeat the first half of the one before.
+        // Below, odd prompts get the first half of the one before.
         prompt[block] = random();
       }
     }
@@ -114,7 +114,7 @@
       return one;
     };
     std::vector<GroupId> chosen(kRounds);
-    // 5,100 requests a second: the refresh of aged values takes its real part.
+    // 5,100 requests per second, so that the periodic refresh has a realistic share of the time.
     constexpr Duration kGap = std::chrono::microseconds(196);
     cost.choose = Nanoseconds(kRounds, [&](std::size_t i) {
       now += kGap;
@@ -130,7 +130,7 @@
       now += std::chrono::microseconds(1);
       router.OnLoad(now, GroupId(i % groups + 1), load);
     });
-    // Again with the prompts on record.
+    // Again with the prompts in the index.
     cost.choose = std::max(cost.choose, Nanoseconds(kRounds, [&](std::size_t i) {
                              now += kGap;
                              chosen[i] = *router.Choose(now, query(i));
--- a/bench/routing/engine.hpp
+++ b/bench/routing/engine.hpp
@@ -12,18 +12,18 @@
 
 namespace gooseberrysail::bench {
 
-/// \brief Sizes of a stand-in for one group's engine.
+/// \brief Parameters of the model of one group's engine.
 struct EngineSpec
 {
   std::size_t slots = 32;
   std::size_t queue = 32;
   std::size_t cacheBlocks = 800;
-  double stepSeconds = 0.010;      ///< Of one iteration, with an empty batch.
-  double sequenceSeconds = 0.0006; ///< More for each sequence in the batch.
+  double stepSeconds = 0.010;      ///< Of an iteration, without sequences.
+  double sequenceSeconds = 0.0006; ///< Added for each sequence in the batch.
   double blockSeconds = 0.0064;    ///< Prefill of one block of 128 tokens.
 };
 
-/// \brief Least recently used prompt blocks; notes what came and went.
+/// \brief An LRU cache of prompt blocks, which records additions and removals.
 class PrefixCache
 {
 public:
@@ -32,7 +32,7 @@
   {
   }
 
-  /// \returns How many leading blocks were there.
+  /// \returns How many leading blocks were cached.
   std::size_t Use(std::span<const std::uint64_t> hashes)
   {
     std::size_t known = 0;
@@ -84,7 +84,7 @@
   double work = 0;
 };
 
-/// \brief Continuous batching: each iteration prefills what joined and gives all others a token.
+/// \brief Continuous batching: each iteration prefills new sequences and gives each one a token.
 class Engine
 {
 public:
@@ -108,11 +108,11 @@
   struct StepResult
   {
     double seconds = 0;
-    std::vector<Sequence> first;    ///< Got their first token.
-    std::vector<Sequence> finished; ///< Got their last one.
+    std::vector<Sequence> first;    ///< Received their first token.
+    std::vector<Sequence> finished; ///< Received their last token.
   };
 
-  /// \brief One iteration; its results hold `seconds` later.
+  /// \brief Runs one iteration; its results are available `seconds` later.
   StepResult Step()
   {
     StepResult result;
@@ -147,7 +147,7 @@
     return result;
   }
 
-  /// \returns The work spent on it.
+  /// \returns The work spent on the request.
   double Cancel(std::size_t request, std::uint32_t attempt)
   {
     double work = 0;
@@ -161,7 +161,7 @@
     return work;
   }
 
-  /// \returns The work lost.
+  /// \returns The work spent on the running sequences.
   double Clear()
   {
     double work = 0;
@@ -187,8 +187,8 @@
   PrefixCache cache;
   double slowdown = 1;
   bool stepping = false;
-  bool present = true; ///< Announced to the entries.
-  bool dark = false;   ///< Cut off: swallows what it is sent.
+  bool present = true;      ///< Listed at the entries.
+  bool unreachable = false; ///< Requests sent to it get no answer.
   std::uint64_t eventSequence = 0;
   std::uint64_t blocksHit = 0;
   std::uint64_t blocksAll = 0;
--- a/bench/routing/limits.hpp
+++ b/bench/routing/limits.hpp
@@ -9,9 +9,9 @@
 
 namespace gooseberrysail::bench {
 
-/// \brief How far several entries together miss one workspace's limits.
-/// \remarks Control divides anew each second from usage that is up to half a second old; the
-/// division arrives 50 ms later. Demand is three times the limit and moves between the entries.
+/// \brief Measures by how much several entries together miss one workspace's limits.
+/// \remarks Control recomputes the shares every second from usage up to half a second old, and
+/// the shares arrive 50 ms later. Demand is three times the limit and moves between the entries.
 class LimitsBench
 {
 public:
@@ -28,10 +28,10 @@
                 "under 10s",
                 "concurrent");
     for (const std::size_t entries : { 1, 3, 6, 12 }) {
-      One("steady demand", entries, Mode::kSteady);
-      One("demand moves every 8 s", entries, Mode::kMoving);
-      One("shares lapse, then demand moves", entries, Mode::kLapse);
-      One("one entry cut off from control", entries, Mode::kOneCutOff);
+      RunCase("steady demand", entries, Mode::kSteady);
+      RunCase("demand moves every 8 s", entries, Mode::kMoving);
+      RunCase("shares lapse, then demand moves", entries, Mode::kSharesExpire);
+      RunCase("one entry cut off from control", entries, Mode::kOneDisconnected);
     }
   }
 
@@ -40,16 +40,16 @@
   {
     kSteady,
     kMoving,
-    kLapse,
-    kOneCutOff,
+    kSharesExpire,
+    kOneDisconnected,
   };
   static constexpr double kRate = 60;
   static constexpr std::uint32_t kConcurrent = 90;
-  static constexpr double kService = 1.2; ///< Mean seconds; 72 at once when the rate is used.
+  static constexpr double kServiceSeconds = 1.2; ///< Mean duration; 72 concurrent at the full rate.
   static constexpr int kSeconds = 120;
   static constexpr int kWarmUp = 20;
   static constexpr int kStepsPerSecond = 200;
-  static constexpr int kLapseAt = 40;
+  static constexpr int kExpireAt = 40;
 
   static WorkspaceId Workspace() { return WorkspaceId("hire"); }
   static EntryName Model() { return EntryName("model"); }
@@ -62,21 +62,22 @@
 
   static double Weight(Mode mode, int second, std::size_t entry, std::size_t entries)
   {
-    const bool moves = mode == Mode::kMoving ||
-                       ((mode == Mode::kLapse || mode == Mode::kOneCutOff) && second >= kLapseAt);
+    const bool moves =
+      mode == Mode::kMoving ||
+      ((mode == Mode::kSharesExpire || mode == Mode::kOneDisconnected) && second >= kExpireAt);
     if (!moves || entries == 1) {
       return 1.0 / static_cast<double>(entries);
     }
     // One entry at a time has four fifths of the demand.
-    const auto hot = static_cast<std::size_t>(second / 8) % entries;
-    return entry == hot ? 0.8 : 0.2 / static_cast<double>(entries - 1);
+    const auto busiest = static_cast<std::size_t>(second / 8) % entries;
+    return entry == busiest ? 0.8 : 0.2 / static_cast<double>(entries - 1);
   }
 
-  static void One(const char* name, std::size_t entries, Mode mode)
+  static void RunCase(const char* name, std::size_t entries, Mode mode)
   {
     std::mt19937_64 random(77);
     std::uniform_real_distribution<double> unit(0, 1);
-    std::exponential_distribution<double> service(1 / kService);
+    std::exponential_distribution<double> service(1 / kServiceSeconds);
     std::vector<Admission> admissions(entries);
     WorkspaceSpec spec;
     spec.requestsPerSecond = kRate;
@@ -105,9 +106,10 @@
           demands[i] = admissions[i].CurrentUsage(now).front().demandPerSecond;
         }
       }
-      const bool lapsed = mode == Mode::kLapse && second >= kLapseAt;
-      if (part == kStepsPerSecond / 20 && second > 0 && !lapsed) {
-        Divide(now, admissions, demands, mode == Mode::kOneCutOff && second >= kLapseAt + 10);
+      const bool expired = mode == Mode::kSharesExpire && second >= kExpireAt;
+      if (part == kStepsPerSecond / 20 && second > 0 && !expired) {
+        Divide(
+          now, admissions, demands, mode == Mode::kOneDisconnected && second >= kExpireAt + 10);
       }
       for (std::size_t i = 0; i < entries; ++i) {
         const double offered = 3 * kRate * Weight(mode, second, i, entries) / kStepsPerSecond;
@@ -128,15 +130,15 @@
     Print(name, entries, perSecond, mostRunning);
   }
 
-  /// As control does: most by demand, a tenth evenly. A silent entry's share stays reserved for a
-  /// while; then the others get it, though the silent one goes on using it.
+  /// Divides as control does: a tenth evenly, the rest by demand. The share of a disconnected entry
+  /// stays reserved for a while. Then the others get it, although that entry continues to use it.
   static void Divide(TimePoint now,
                      std::vector<Admission>& admissions,
                      std::vector<double> demands,
-                     bool firstIsGivenUp)
+                     bool firstIsExcluded)
   {
     constexpr double kEvenPart = 0.1;
-    const std::size_t from = firstIsGivenUp && admissions.size() > 1 ? 1 : 0;
+    const std::size_t from = firstIsExcluded && admissions.size() > 1 ? 1 : 0;
     demands.erase(demands.begin(), demands.begin() + static_cast<std::ptrdiff_t>(from));
     for (double& demand : demands) {
       demand /= kRate;
--- a/bench/routing/simulation.hpp
+++ b/bench/routing/simulation.hpp
@@ -15,7 +15,7 @@
 {
   kNone,
   kStraggler,
-  kDarkDomain,
+  kUnreachableDomain,
   kReturningTarget,
 };
 
@@ -33,7 +33,7 @@
   std::size_t straggler = 1;
 };
 
-/// \brief Calls of one kind, and those of them without a whole answer in time.
+/// \brief Number of calls, and of those without a whole answer in time.
 struct Losses
 {
   double calls = 0;
@@ -49,10 +49,10 @@
 
 struct Metrics
 {
-  double goodput = 0; ///< Whole answers in time, per second of arrivals.
+  double goodput = 0; ///< Whole answers in time, per second.
   std::vector<double> first;
-  std::vector<double> whole;     ///< From the accepted call.
-  std::vector<double> fromStart; ///< From the first sending, waits for Retry-After included.
+  std::vector<double> whole;     ///< From acceptance.
+  std::vector<double> fromStart; ///< From the first sending, with waits for Retry-After.
   double wasted = 0;
   double hitRate = 0;
   double attemptsPerRequest = 0;
@@ -71,7 +71,7 @@
   return values[at];
 }
 
-/// \brief Three entries, thirty engines and callers that honour Retry-After, in scripted time.
+/// \brief Discrete-event simulation of entries, engines and callers that honour Retry-After.
 class Simulation
 {
 public:
@@ -95,7 +95,7 @@
     }
     if (scenario.fault == Fault::kReturningTarget) {
       m_engines[0].present = false;
-      m_engines[0].dark = true;
+      m_engines[0].unreachable = true;
     }
     for (std::size_t i = 0; i < scenario.groups; ++i) {
       Announce(i);
@@ -138,7 +138,7 @@
   struct Request
   {
     std::size_t entry = 0;
-    std::uint32_t attempt = 0; ///< Over all calls; tells old replies from new ones.
+    std::uint32_t attempt = 0; ///< Over all calls; identifies outdated replies.
     std::size_t attempts = 0;
     std::vector<GroupId> tried;
     std::size_t group = 0;
@@ -146,7 +146,7 @@
     double sentAt = 0;
     double firstAt = -1;
     double doneAt = -1;
-    bool open = false; ///< An attempt is out.
+    bool open = false; ///< An attempt is in flight.
     bool ended = false;
     double work = 0;
     double usefulWork = 0;
@@ -167,9 +167,9 @@
     Admission admission;
   };
 
-  static constexpr double kHop = 0.0007;
-  static constexpr double kSilence = 1.5;    ///< A dead connection is noticed after this.
-  static constexpr double kControlDelay = 6; ///< Until control takes dead groups off the list.
+  static constexpr double kNetworkDelay = 0.0007;
+  static constexpr double kFailureDetectionDelay = 1.5; ///< Until a failed connection is detected.
+  static constexpr double kRemovalDelay = 6; ///< Until control removes unreachable groups.
   static constexpr double kBaselineRetryAfter = 1;
   static constexpr double kWarmUp = 15;
 
@@ -195,7 +195,7 @@
   {
     m_events.push({ at, m_order++, std::move(run) });
   }
-  void In(double delay, std::function<void()> run) { At(m_now + delay, std::move(run)); }
+  void After(double delay, std::function<void()> run) { At(m_now + delay, std::move(run)); }
   double Uniform(double low, double high)
   {
     return std::uniform_real_distribution<double>(low, high)(m_random);
@@ -232,9 +232,9 @@
         At(m_scenario.faultAt, [this] { m_engines[m_scenario.straggler].slowdown = 4; });
         At(m_scenario.faultEnd, [this] { m_engines[m_scenario.straggler].slowdown = 1; });
         break;
-      case Fault::kDarkDomain:
-        At(m_scenario.faultAt, [this] { SetDark(true); });
-        At(m_scenario.faultEnd, [this] { SetDark(false); });
+      case Fault::kUnreachableDomain:
+        At(m_scenario.faultAt, [this] { SetDomainUnreachable(true); });
+        At(m_scenario.faultEnd, [this] { SetDomainUnreachable(false); });
         break;
       case Fault::kReturningTarget:
         At(m_scenario.faultAt, [this] { Return(0); });
@@ -244,20 +244,20 @@
 
   void Return(std::size_t index)
   {
-    m_engines[index].dark = false;
+    m_engines[index].unreachable = false;
     m_engines[index].present = true;
     Announce(index);
   }
 
-  void SetDark(bool dark)
+  void SetDomainUnreachable(bool unreachable)
   {
     for (std::size_t i = 2; i < m_engines.size(); i += 3) {
       Engine& engine = m_engines[i];
-      engine.dark = dark;
-      if (dark) {
+      engine.unreachable = unreachable;
+      if (unreachable) {
         m_lostWork += engine.Clear();
         FailAllAt(i);
-        In(kControlDelay, [this, i] { Withdraw(i); });
+        After(kRemovalDelay, [this, i] { Withdraw(i); });
       } else {
         Return(i);
       }
@@ -270,14 +270,14 @@
       const Request& request = m_requests[i];
       if (request.open && request.group == index) {
         const std::uint32_t attempt = request.attempt;
-        In(kSilence, [this, i, attempt] { Failed(i, attempt); });
+        After(kFailureDetectionDelay, [this, i, attempt] { Failed(i, attempt); });
       }
     }
   }
 
   // ---- callers and entries ----
 
-  [[nodiscard]] double LeftOf(std::size_t id) const
+  [[nodiscard]] double TimeLeft(std::size_t id) const
   {
     return m_calls[id].arrival + m_calls[id].deadline - m_now;
   }
@@ -293,26 +293,26 @@
       query.workspace = Workspace(id);
       query.entry = Model();
       query.priorityClass = m_calls[id].priorityClass;
-      query.deadline = Time(LeftOf(id));
+      query.deadline = Time(TimeLeft(id));
       const AdmissionDecision decision = m_entries[request.entry]->admission.Decide(Now(), query);
       if (!decision.Admitted()) {
-        ComeBack(id, Seconds(decision.retryAfter));
+        RetryAfterDelay(id, Seconds(decision.retryAfter));
         return;
       }
     }
     request.acceptedAt = m_now;
     const std::uint32_t call = ++request.attempt;
-    In(LeftOf(id), [this, id, call] { Deadline(id, call); });
+    After(TimeLeft(id), [this, id, call] { Deadline(id, call); });
     Attempt(id);
   }
 
-  void ComeBack(std::size_t id, double after)
+  void RetryAfterDelay(std::size_t id, double after)
   {
-    if (after >= LeftOf(id)) {
+    if (after >= TimeLeft(id)) {
       m_requests[id].ended = true;
       return;
     }
-    In(after, [this, id] { Arrive(id); });
+    After(after, [this, id] { Arrive(id); });
   }
 
   WorkspaceId Workspace(std::size_t id) const
@@ -336,7 +336,7 @@
     EntryState& entry = *m_entries[request.entry];
     const auto group = entry.chooser.Choose(Now(), Query(id));
     if (!group) {
-      GiveBack(id);
+      Abandon(id);
       return;
     }
     entry.chooser.OnSent(Now(), *group, Query(id));
@@ -347,7 +347,7 @@
     ++m_attempts;
     ++request.attempt;
     const std::uint32_t attempt = request.attempt;
-    In(kHop, [this, id, attempt] { EngineArrive(id, attempt); });
+    After(kNetworkDelay, [this, id, attempt] { EngineArrive(id, attempt); });
   }
 
   void EndAttempt(std::size_t id, AttemptResult result)
@@ -365,11 +365,11 @@
     if (m_entries[request.entry]->chooser.MayRetry(Now(), request.tried.size())) {
       Attempt(id);
     } else {
-      GiveBack(id);
+      Abandon(id);
     }
   }
 
-  void GiveBack(std::size_t id)
+  void Abandon(std::size_t id)
   {
     Request& request = m_requests[id];
     double after = kBaselineRetryAfter;
@@ -379,7 +379,7 @@
       after = Seconds(admission.RetryAfter(Now(), Model()));
     }
     ++request.attempt;
-    ComeBack(id, after);
+    RetryAfterDelay(id, after);
   }
 
   void Refused(std::size_t id, std::uint32_t attempt)
@@ -447,7 +447,8 @@
     EndAttempt(id, AttemptResult::kCancelled);
     const std::size_t group = request.group;
     const std::uint32_t attempt = request.attempt;
-    In(kHop, [this, group, id, attempt] { m_lostWork += m_engines[group].Cancel(id, attempt); });
+    After(kNetworkDelay,
+          [this, group, id, attempt] { m_lostWork += m_engines[group].Cancel(id, attempt); });
     ++request.attempt;
     End(id);
   }
@@ -461,8 +462,8 @@
       return;
     }
     Engine& engine = m_engines[request.group];
-    if (engine.dark) {
-      In(kSilence, [this, id, attempt] { Failed(id, attempt); });
+    if (engine.unreachable) {
+      After(kFailureDetectionDelay, [this, id, attempt] { Failed(id, attempt); });
       return;
     }
     Sequence sequence;
@@ -472,7 +473,7 @@
     sequence.priority = static_cast<int>(m_calls[id].priorityClass);
     sequence.hashes = m_calls[id].hashes;
     if (!engine.Accept(sequence)) {
-      In(kHop, [this, id, attempt] { Refused(id, attempt); });
+      After(kNetworkDelay, [this, id, attempt] { Refused(id, attempt); });
       return;
     }
     if (!engine.stepping) {
@@ -483,38 +484,40 @@
   void Step(std::size_t index)
   {
     Engine& engine = m_engines[index];
-    engine.stepping = !engine.Idle() && !engine.dark;
+    engine.stepping = !engine.Idle() && !engine.unreachable;
     if (!engine.stepping) {
       return;
     }
     auto result = std::make_shared<Engine::StepResult>(engine.Step());
-    In(result->seconds, [this, index, result] { StepEnds(index, *result); });
+    After(result->seconds, [this, index, result] { StepEnds(index, *result); });
   }
 
   void StepEnds(std::size_t index, const Engine::StepResult& result)
   {
-    if (!m_engines[index].dark) {
+    if (!m_engines[index].unreachable) {
       for (const Sequence& sequence : result.first) {
-        In(kHop,
-           [this, id = sequence.request, attempt = sequence.attempt] { FirstByte(id, attempt); });
+        After(kNetworkDelay, [this, id = sequence.request, attempt = sequence.attempt] {
+          FirstByte(id, attempt);
+        });
       }
       for (const Sequence& sequence : result.finished) {
         m_doneWork += sequence.work;
-        In(kHop, [this, id = sequence.request, attempt = sequence.attempt, work = sequence.work] {
-          Finished(id, attempt, work);
-        });
+        After(kNetworkDelay,
+              [this, id = sequence.request, attempt = sequence.attempt, work = sequence.work] {
+                Finished(id, attempt, work);
+              });
       }
     }
     Step(index);
   }
 
-  /// Load reports every half second, up to 0.4 s late; cache events up to 2 s late, one batch in
-  /// twenty lost.
+  /// Sends load reports every half second, up to 0.4 s late, and cache events up to 2 s late; one
+  /// batch of events in twenty is lost.
   void Publish(std::size_t index)
   {
     Engine& engine = m_engines[index];
-    In(0.5, [this, index] { Publish(index); });
-    if (engine.dark) {
+    After(0.5, [this, index] { Publish(index); });
+    if (engine.unreachable) {
       return;
     }
     LoadObservation load;
@@ -531,11 +534,11 @@
     for (std::size_t e = 0; e < m_entries.size(); ++e) {
       const double delay = Uniform(0.05, 0.4);
       load.age = Time(delay);
-      In(delay, [this, e, index, load] {
+      After(delay, [this, e, index, load] {
         m_entries[e]->chooser.router.OnLoad(Now(), Group(index), load);
       });
       if (!lost) {
-        In(cacheDelay, [this, e, index, sequence = engine.eventSequence, added, removed] {
+        After(cacheDelay, [this, e, index, sequence = engine.eventSequence, added, removed] {
           m_entries[e]->chooser.router.OnCacheReport(
             Now(), Group(index), sequence, *added, *removed, false);
         });
@@ -545,7 +548,7 @@
 
   void Tick()
   {
-    In(0.05, [this] { Tick(); });
+    After(0.05, [this] { Tick(); });
     for (auto& entry : m_entries) {
       const EntryLoad load = entry->chooser.router.Load(Model());
       entry->admission.SetCapacity(Model(),
@@ -554,8 +557,8 @@
     }
   }
 
-  /// Only what ended between warm-up and the last arrival counts: after it the backlog drains with
-  /// nothing new behind it, which would flatter whoever let it grow.
+  /// Counts only answers between the warm-up and the last arrival. Afterwards the backlog drains
+  /// without new arrivals, which would favour policies that let it grow.
   Metrics Summarize()
   {
     Metrics metrics;
--- a/bench/routing/workload.hpp
+++ b/bench/routing/workload.hpp
@@ -14,7 +14,7 @@
 inline constexpr std::size_t kBlockBytes = 512;
 inline constexpr std::size_t kWorkspaces = 10;
 
-/// \brief One call as its caller means it.
+/// \brief One call of a caller, including its retries.
 struct Call
 {
   double arrival = 0;
@@ -28,12 +28,12 @@
 enum class Work
 {
   kConversations,
-  kUnrelatedPrompts, ///< Nothing is shared: affinity has nothing to win.
+  kUnrelatedPrompts, ///< No common prefixes, so that affinity has no benefit.
   kServiceCalls,     ///< Short calls of a plain service, without prompts.
 };
 
-/// \brief Conversations of ten workspaces, a few of them large: shared instructions, a document of
-/// its own, and turns that repeat all that was said before.
+/// \brief Generates conversations of ten workspaces, a few of them large. Each has shared
+/// instructions and a document of its own, and each turn repeats all earlier ones.
 inline std::vector<Call> MakeCalls(std::uint64_t seed, double perSecond, double seconds, Work work)
 {
   struct Conversation
@@ -61,8 +61,8 @@
       extend(hashes, between(4, 10));
     }
   }
-  constexpr std::size_t kOpen = 1500;
-  constexpr std::uint32_t kMostTurns = 8;
+  constexpr std::size_t kMaxOpen = 1500;
+  constexpr std::uint32_t kMaxTurns = 8;
   std::vector<Conversation> open;
   std::vector<Call> calls;
   for (double at = gap(random); at < seconds; at += gap(random)) {
@@ -95,7 +95,7 @@
       call.tokens = static_cast<std::uint32_t>(between(2, 6));
     }
     calls.push_back(std::move(call));
-    if (++conversation.turns >= kMostTurns || open.size() > kOpen) {
+    if (++conversation.turns >= kMaxTurns || open.size() > kMaxOpen) {
       open.erase(open.begin() + static_cast<std::ptrdiff_t>(index));
     }
   }
