--- a/include/gooseberrysail/control/target_changes.hpp
+++ b/include/gooseberrysail/control/target_changes.hpp
@@ -23,8 +23,8 @@
   enum class Urgency
   {
     kNone,     ///< Nothing changed.
-    kJoinable, ///< It may wait for a moment and go out with others.
-    kAtOnce,   ///< A caller is served worse while an entry doesn't know it.
+    kDeferrable, ///< It may wait for a moment and go out with others.
+    kImmediate,   ///< A caller is served worse while an entry doesn't know it.
   };
 
   /// \brief Takes over the whole list; a difference makes a new sequence.
--- a/src/control/serving_feed.cpp
+++ b/src/control/serving_feed.cpp
@@ -134,7 +134,7 @@
   if (urgency == TargetChanges::Urgency::kNone) {
     return;
   }
-  if (urgency == TargetChanges::Urgency::kAtOnce) {
+  if (urgency == TargetChanges::Urgency::kImmediate) {
     m_urgentSequence = m_targets.Sequence();
   }
   m_isDivided = false;
--- a/src/control/target_changes.cpp
+++ b/src/control/target_changes.cpp
@@ -21,7 +21,7 @@
 TargetChanges::Urgency TargetChanges::Set(std::span<const ServedTarget> targets)
 {
   const std::uint64_t former = m_sequence++;
-  Urgency urgency = former == 0 ? Urgency::kJoinable : Urgency::kNone;
+  Urgency urgency = former == 0 ? Urgency::kDeferrable : Urgency::kNone;
   std::set<InstanceId> present;
   for (const ServedTarget& target : targets) {
     present.insert(target.instance);
@@ -34,7 +34,7 @@
     }
     RememberGone(row->first);
     row = m_rows.erase(row);
-    urgency = Urgency::kAtOnce;
+    urgency = Urgency::kImmediate;
   }
   if (urgency == Urgency::kNone) {
     m_sequence = former;
@@ -52,7 +52,7 @@
   const bool isUrgent = !fresh && IsUrgent(row.target, target);
   row = { target, m_sequence };
   m_gone.erase(target.instance);
-  return isUrgent ? Urgency::kAtOnce : Urgency::kJoinable;
+  return isUrgent ? Urgency::kImmediate : Urgency::kDeferrable;
 }
 
 void TargetChanges::RememberGone(const InstanceId& instance)
