--- a/include/gooseberrysail/control/engine_groups.hpp
+++ b/include/gooseberrysail/control/engine_groups.hpp
@@ -23,16 +23,16 @@
 {
   kJoin,
   kOpen,
-  kClose, ///< Takes no new work, finishes what it has.
+  kClose, ///< Accept no new work; finish the work in progress.
   kLeave,
-  kStage,    ///< The target's host loads a model's weights ahead of need; no group is concerned.
-  kProbe,    ///< Changes nothing; whoever is at the address answers with a report.
-  kIdentify, ///< Changes nothing; another target at the address answers that it is another.
+  kStage,    ///< Preload a model's weights on the target's host; concerns no group.
+  kProbe,    ///< Changes nothing; whichever target is at the address answers with a report.
+  kIdentify, ///< Changes nothing; a target with another identity rejects the order.
 };
 
 [[nodiscard]] const char* ToString(GroupOrderKind kind) noexcept;
 
-/// \brief One epoch of a group: with each change of its members it goes on under a higher one.
+/// \brief One epoch of a group. A group that continues with other members gets a higher epoch.
 struct GroupKey
 {
   std::string name;
@@ -41,7 +41,7 @@
   friend auto operator<=>(const GroupKey&, const GroupKey&) = default;
 };
 
-/// \brief A step that control tells a target to take.
+/// \brief A command from control to a target.
 struct GroupOrder
 {
   InstanceId target;
@@ -51,64 +51,67 @@
   Epoch epoch;
   std::string model;               ///< kJoin and kStage.
   std::vector<InstanceId> members; ///< kJoin only; the head first.
-  bool cut = false;                ///< kClose only: what it has can't end any more.
-  Incarnation born{};              ///< The life of the target that it was meant for.
+  bool cut = false;                ///< kClose only: the work in progress can't complete.
+  Incarnation born{};              ///< The incarnation of the target that the order is for.
   TimePoint givenAt{};
 };
 
-/// \brief How an order ended.
+/// \brief The result of an order.
 enum class OrderOutcome
 {
-  kBegun,    ///< Taken; the target's heartbeats tell the rest.
-  kDone,     ///< The state that it asks for holds.
-  kRefused,  ///< It does not fit the target's state.
-  kNoTarget, ///< Nothing listens there: the target is dead, or leaving and about to end.
-  kReplaced, ///< Another life has the address: that of the target is over.
-  kUnknown,  ///< No answer: it may still be carried out.
+  kBegun,    ///< Accepted; the target's heartbeats report its progress.
+  kDone,     ///< The target is in the requested state.
+  kRefused,  ///< The order is not valid in the target's state.
+  kNoTarget, ///< Nothing listens at the address: the target is dead, or about to exit.
+  kReplaced, ///< Another target or incarnation has the address; this one has ended.
+  kUnknown,  ///< No answer; the order may still be executed.
 };
 
-/// \brief What the keeper of groups sees at a tick.
+/// \brief The input of EngineGroups::Tick.
 struct GroupsInput
 {
   TimePoint now;
-  Term term; ///< This process leads in it.
+  Term term; ///< The term in which this process leads.
   const TargetTable& targets;
   const ServingDocument& document;
-  /// \brief This process has run for longer than all targets need to speak. Before, a late
-  /// heartbeat may be the only word of a target that has joined a group since.
-  bool isWhole = false;
-  bool hasTraffic = false; ///< Entries have seen requests: loads count against the store's rate.
-  const std::set<InstanceId>& answering; ///< Heads that answered an entry a moment ago.
+  /// \brief This process has run long enough to receive a heartbeat of every target. Before that, a
+  /// delayed heartbeat may be the only report of a target that has joined a group since.
+  bool hasHeardAll = false;
+  bool hasTraffic = false; ///< Entries received requests; the store's load rate limit applies.
+  const std::set<InstanceId>& answering; ///< Heads that recently answered an entry.
   const std::set<InstanceId>& failing;   ///< Heads that failed an entry and answered none since.
   const std::map<std::string, ModelDemand>& demand; ///< By model; empty before traffic.
-  const std::map<InstanceId, Duration>& steps;      ///< How long heads take for a step.
+  const std::map<InstanceId, Duration>& steps;      ///< Duration of an engine step, by head.
 };
 
 struct EngineGroupsSettings
 {
-  /// \brief How long a head that lacks a member stands still before it declares itself broken.
+  /// \brief How long a head that lacks a member is stalled before it reports itself broken.
   Duration standstill = std::chrono::seconds(5);
-  Duration heartbeat = std::chrono::milliseconds(1200); ///< Between two of a target.
+  Duration heartbeat = std::chrono::milliseconds(1200); ///< Interval of a target's heartbeats.
 
-  /// \brief Silence after which a target joins no new group, and a head that fails entries and
-  /// answers none is given up: one heartbeat may be half its interval late.
-  [[nodiscard]] Duration SuspectSilence() const noexcept { return heartbeat * 3 / 2; }
+  /// \brief Time without a heartbeat after which a target is not used for a new group, and the
+  /// group of a head that fails entries and answers none is ended. One heartbeat may be half its
+  /// interval late.
+  [[nodiscard]] Duration SuspectTimeout() const noexcept { return heartbeat * 3 / 2; }
 
-  /// \brief Silence after which a head that nobody complains of is given up.
-  [[nodiscard]] Duration Silence() const noexcept { return heartbeat * 3; }
+  /// \brief Time without a heartbeat after which the group of a head is ended although no entry
+  /// reported a failure.
+  [[nodiscard]] Duration SilenceTimeout() const noexcept { return heartbeat * 3; }
 
-  /// \brief A process that started this long ago has heard every target: two heartbeats and some.
+  /// \brief Time after its start by which a process has received a heartbeat of every target: two
+  /// heartbeat intervals and a margin.
   [[nodiscard]] Duration LearnTime() const noexcept { return heartbeat * 21 / 10; }
 
-  /// \brief Before traffic: when no target was new for this long, all that there are have spoken.
+  /// \brief Before traffic: when no new target appeared for this long, all targets are known.
   [[nodiscard]] Duration QuietTime() const noexcept { return heartbeat * 5 / 4; }
 };
 
-/// \brief Forms groups of targets by orders to the targets themselves, and gives up broken ones.
-/// \remarks Nothing of it is stored: a new leader learns the groups from the targets' heartbeats.
-/// That is safe since a target refuses a join of a lower epoch than it has seen and epochs rise
-/// with the leader's term; and a target is given to another group only when the head of its present
-/// one certainly takes no work any more.
+/// \brief Forms groups of targets by orders to the targets, and ends broken groups.
+/// \remarks No state is stored: a new leader learns the groups from the targets' heartbeats. This
+/// is safe because a target refuses a join with a lower epoch than it has seen, epochs increase
+/// with the leader's term, and a target is assigned to another group only after the head of its
+/// current one has certainly stopped accepting work.
 class EngineGroups
 {
 public:
@@ -116,14 +119,14 @@
 
   void OnLeaderStart();
 
-  /// \brief Appends the orders to give now, and events.
+  /// \brief Appends the orders to send now, and events.
   void Tick(const GroupsInput& input,
             std::vector<GroupOrder>& orders,
             std::vector<EventOut>& events);
 
   void OnOrderOutcome(TimePoint now, const GroupOrder& order, OrderOutcome outcome);
 
-  /// \brief A target reported the factor on its usual times; over 1 it is slow.
+  /// \brief A target reported the factor by which its work takes longer than usual.
   void OnPace(TimePoint now, const InstanceId& target, double pace);
 
   /// \brief A target answered a probe.
@@ -135,12 +138,12 @@
 private:
   enum class Phase
   {
-    kAdopted,   ///< Of an earlier leader; its head is waited for.
-    kGathering, ///< Some members still end their work in groups that were given up.
+    kAdopted,   ///< Formed by an earlier leader; waits for a report of the head.
+    kGathering, ///< Some members still finish work in groups that are being ended.
     kJoining,
     kOpening,
     kOpen,
-    kEnding, ///< The head is being closed; its members stay until that is certain.
+    kEnding, ///< The head is being closed; the members stay reserved until it certainly is.
   };
 
   struct Group
@@ -149,37 +152,37 @@
     Epoch epoch;
     std::string service;
     std::string model;
-    std::vector<InstanceId> members;         ///< The head first; none where a member is not known.
-    std::vector<InstanceId> successors;      ///< Former members that went on under the next epoch.
-    std::map<InstanceId, Incarnation> lives; ///< Of the members, when they were taken into it.
+    std::vector<InstanceId> members;    ///< The head first; an empty id where a member is unknown.
+    std::vector<InstanceId> successors; ///< Former members that are in the next epoch.
+    std::map<InstanceId, Incarnation> incarnations; ///< Of the members, at their assignment.
     Phase phase = Phase::kJoining;
-    TimePoint since{}; ///< In this phase.
+    TimePoint since{}; ///< Start of the phase.
     bool wasAdopted = false;
     std::map<std::pair<InstanceId, GroupOrderKind>, TimePoint> orderedAt;
-    bool cut = false;                      ///< A member is lost: nothing that the head has can end.
-    bool closeBegun = false;               ///< The head took the order to close.
-    bool saidClosed = false;               ///< The head answered that it isn't open.
-    std::uint32_t opensUnanswered = 0;     ///< Orders to open that may still be carried out.
-    bool headIsDead = false;               ///< That life of the head certainly ended.
-    bool headIsClosed = false;             ///< The head said that it takes no work.
-    TimePoint askedPaceAt{};               ///< When the members were asked whether they are slow.
-    TimePoint askedHeadAt{};               ///< When the head was asked whether it has left.
-    std::optional<TimePoint> openedAt;     ///< The order to open it was answered.
-    std::optional<TimePoint> headSilentAt; ///< Nobody reached the head.
-    std::optional<TimePoint> leftAt;       ///< The other members were told to leave.
-    std::optional<TimePoint> incompleteAt; ///< A member certainly works for the head no more.
+    bool cut = false;                      ///< A member is lost: work in progress can't complete.
+    bool closeBegun = false;               ///< The head accepted the order to close.
+    bool reportedClosed = false;           ///< The head answered that it is not open.
+    std::uint32_t opensUnanswered = 0;     ///< Orders to open that may still be executed.
+    bool headIsDead = false;               ///< The head's incarnation certainly ended.
+    bool headIsClosed = false;             ///< The head reported that it takes no work.
+    TimePoint paceProbedAt{};              ///< When the members were last probed for their pace.
+    TimePoint headProbedAt{};              ///< When the head was last probed for its group.
+    std::optional<TimePoint> openedAt;     ///< When the order to open was answered.
+    std::optional<TimePoint> headSilentAt; ///< Since when the head is unreachable.
+    std::optional<TimePoint> leftAt;       ///< When the other members were ordered to leave.
+    std::optional<TimePoint> incompleteAt; ///< When a member had certainly left the head.
 
     [[nodiscard]] GroupKey Key() const { return { name, epoch }; }
   };
 
-  struct Pass; ///< One tick: input, outputs.
+  struct Pass; ///< The input and outputs of one tick.
 
-  void Keep(Pass& pass);
+  void Reconcile(Pass& pass);
   void Adopt(Pass& pass);
   [[nodiscard]] static Group MakeAdopted(const Pass& pass, const TargetRow& row);
   void DropEnded(Pass& pass);
-  void ForgetGone(const Pass& pass);
-  void ForgetFormerLives(const Pass& pass);
+  void ForgetRemovedTargets(const Pass& pass);
+  void ForgetFormerIncarnations(const Pass& pass);
   void Advance(Pass& pass, Group& group);
   void AdvanceAdopted(Pass& pass, Group& group);
   void AdvanceGathering(Pass& pass, Group& group);
@@ -190,19 +193,19 @@
   void End(Pass& pass, Group& group, const char* reason);
   void EndLost(Pass& pass, Group& group, const char* reason);
   void Order(Pass& pass, Group& group, const InstanceId& target, GroupOrderKind kind);
-  static void NoteHeadsAnswer(TimePoint now,
-                              Group& group,
-                              GroupOrderKind kind,
-                              OrderOutcome outcome);
+  static void RecordHeadAnswer(TimePoint now,
+                               Group& group,
+                               GroupOrderKind kind,
+                               OrderOutcome outcome);
   void ProbeMembers(Pass& pass, Group& group);
-  void Form(Pass& pass, const ServiceDefinition& service);
+  void FormGroups(Pass& pass, const ServiceDefinition& service);
   void StartGroup(Pass& pass, const std::string& service, const PlannedGroup& planned);
   void StartTakeover(Pass& pass, const std::string& service, const PlannedTakeover& planned);
   Group& AddGroup(Pass& pass, const std::string& service, const PlannedGroup& planned, Phase phase);
   void StartStage(Pass& pass, const PlannedStage& planned);
   void StartStandby(Pass& pass, const PlannedStandby& planned);
   [[nodiscard]] Epoch NextEpoch(const Pass& pass);
-  /// \brief The last epoch of earlier leaders.
+  /// \brief The highest epoch that an earlier leader can have used.
   [[nodiscard]] static Epoch FormerEpoch(const Pass& pass);
   [[nodiscard]] std::vector<ModelNeed> ListNeeds(const Pass& pass,
                                                  const ServiceDefinition& service) const;
@@ -210,33 +213,33 @@
                                  const ServiceDefinition& service,
                                  const std::string& model) const;
   [[nodiscard]] std::vector<FreeTarget> ListFree(const Pass& pass, const std::string& service);
-  /// \brief Sound members of groups that end and of no other group.
+  /// \brief Healthy members of ending groups that are in no other group.
   [[nodiscard]] std::vector<FreeTarget> ListReturning(const Pass& pass,
                                                       const std::string& service) const;
   [[nodiscard]] std::vector<ServingGroup> ListServing(const Pass& pass, const std::string& service);
-  [[nodiscard]] FreeTarget MakeFree(const TargetRow& row) const;
+  [[nodiscard]] FreeTarget MakeFreeTarget(const TargetRow& row) const;
   void ForgetEndedLoads(const Pass& pass);
-  void NoteLoad(TimePoint now, const GroupOrder& order, OrderOutcome outcome);
+  void RecordLoadOutcome(TimePoint now, const GroupOrder& order, OrderOutcome outcome);
   [[nodiscard]] std::string StagingOf(const InstanceId& target) const;
   [[nodiscard]] bool IsSettled(const Pass& pass);
   [[nodiscard]] bool MayTakeOver(const Pass& pass);
   [[nodiscard]] std::uint32_t LoadsLeft(const Pass& pass, const EngineSpec& engine);
-  /// \brief How many more may begin until `most` are under way.
+  /// \brief How many loads may start until `most` are in progress.
   [[nodiscard]] std::uint32_t LoadsUpTo(const Pass& pass, std::uint32_t most) const;
-  [[nodiscard]] bool IsHeld(const GroupMembership& membership) const;
-  /// \brief The group goes on under a higher epoch with another head.
+  [[nodiscard]] bool IsTracked(const GroupMembership& membership) const;
+  /// \brief The group continues under a higher epoch with another head.
   [[nodiscard]] bool HasSuccessor(const Group& group) const;
-  /// \brief The target is to join a higher epoch of the group.
-  [[nodiscard]] bool IsWantedBySuccessor(const Group& group, const InstanceId& target) const;
+  /// \brief The target is a member of a higher epoch of the group.
+  [[nodiscard]] bool IsMemberOfSuccessor(const Group& group, const InstanceId& target) const;
   [[nodiscard]] Group& FindServing(const std::string& name);
   [[nodiscard]] std::optional<Group> MakeSuccessor(const Pass& pass,
                                                    const ServiceDefinition& service,
                                                    const Group& group);
   [[nodiscard]] bool IsCounted(const Pass& pass, const Group& group) const;
-  void AddWarm(const Pass& pass,
-               const std::string& service,
-               const GroupModel& model,
-               std::vector<InstanceId>& members);
+  void AddWarmTargets(const Pass& pass,
+                      const std::string& service,
+                      const GroupModel& model,
+                      std::vector<InstanceId>& members);
   [[nodiscard]] Group MakeGroup(const Pass& pass,
                                 const std::string& service,
                                 const PlannedGroup& planned);
@@ -246,82 +249,84 @@
                                                  const std::string& model);
   [[nodiscard]] static const GroupModel* ModelOf(const Pass& pass, const Group& group);
   static void ReportFormed(Pass& pass, const Group& group, std::uint32_t loads);
-  void ReportShort(Pass& pass,
-                   const std::string& service,
-                   const PoolInput& pool,
-                   const PoolPlan& plan);
+  void ReportShortages(Pass& pass,
+                       const std::string& service,
+                       const PoolInput& pool,
+                       const PoolPlan& plan);
   // Stragglers (engine_groups_stragglers.cpp).
-  void AskStragglers(Pass& pass, Group& group);
-  void AskSlowAgain(Pass& pass);
-  static void Ask(Pass& pass, const InstanceId& target, GroupOrderKind kind);
-  void AskUnverified(Pass& pass);
-  void NoteIdentity(const GroupOrder& order, OrderOutcome outcome);
-  void ReportPaces(Pass& pass);
-  /// \brief The factor of the group's slowest member.
+  void ProbeStragglers(Pass& pass, Group& group);
+  void ProbeSlowTargets(Pass& pass);
+  static void SendQuery(Pass& pass, const InstanceId& target, GroupOrderKind kind);
+  void QueryUnverifiedTargets(Pass& pass);
+  void RecordIdentity(const GroupOrder& order, OrderOutcome outcome);
+  void ReportPaceChanges(Pass& pass);
+  /// \brief The pace of the group's slowest member.
   [[nodiscard]] double PaceOf(const Group& group) const;
   [[nodiscard]] bool ShouldLeaveStragglers(const Pass& pass, const Group& group);
   void ReplaceHeads(Pass& pass, const ServiceDefinition& service);
   [[nodiscard]] std::vector<InstanceId> ListSurvivors(const Pass& pass, const Group& group) const;
   [[nodiscard]] bool IsSilent(const Pass& pass, const TargetRow& row) const;
-  /// \brief What makes it certain that the head takes no work; null when it may.
-  [[nodiscard]] const char* ReleasedBy(const Pass& pass, const Group& group) const;
+  /// \brief Describes why the head certainly takes no work; null when it still may.
+  [[nodiscard]] const char* ReleaseEvidence(const Pass& pass, const Group& group) const;
   static void ReportReleased(Pass& pass, const Group& group, const char* evidence);
-  /// \brief Nobody reached the group for so long that it is forgotten until it is heard again.
-  [[nodiscard]] bool IsOutOfReach(const Pass& pass, const Group& group) const;
+  /// \brief The group was unreachable for so long that it is dropped until a member reports it
+  /// again.
+  [[nodiscard]] bool IsUnreachable(const Pass& pass, const Group& group) const;
   [[nodiscard]] bool LacksMember(const Pass& pass, const Group& group) const;
   [[nodiscard]] bool IsOver(const TargetRow& row) const;
-  /// \brief A head that is closed now may open by an order that was given before.
+  /// \brief A head that is closed may still open because of an earlier order.
   [[nodiscard]] static bool MayOpenLate(TimePoint now, const Group& group);
-  [[nodiscard]] bool IsSound(const Pass& pass, const Group& group) const;
-  /// \brief What the target's last word says of its group is certain.
-  [[nodiscard]] bool IsKnown(const Pass& pass, const TargetRow& row) const;
-  /// \brief A report that was asked for then tells nothing of before this leader's time.
+  [[nodiscard]] bool IsHealthy(const Pass& pass, const Group& group) const;
+  /// \brief The membership in the target's latest report is certain to be current.
+  [[nodiscard]] bool IsConfirmed(const Pass& pass, const TargetRow& row) const;
+  /// \brief A report requested at that time can't describe a state from before this leader's term.
   [[nodiscard]] bool IsOfThisTerm(TimePoint askedAt) const;
-  void AskHead(Pass& pass, Group& group);
-  [[nodiscard]] static bool IsWhole(const Pass& pass, const Group& group);
+  void ProbeHead(Pass& pass, Group& group);
+  [[nodiscard]] static bool IsComplete(const Pass& pass, const Group& group);
   [[nodiscard]] static bool SharesMember(const Group& left, const Group& right);
-  /// \brief Unknown, leaving, silent, or replaced by another life.
+  /// \brief The target is unknown, leaving, silent or replaced by another identity.
   [[nodiscard]] bool HasFailed(const Pass& pass, const TargetRow* row) const;
   [[nodiscard]] bool HasFailedMember(const Pass& pass, const Group& group) const;
-  /// \brief The member's life in which it was taken into the group is over.
-  [[nodiscard]] static bool IsReborn(const Pass& pass,
-                                     const Group& group,
-                                     const InstanceId& member);
+  /// \brief The member has restarted since it was assigned to the group.
+  [[nodiscard]] static bool HasRestarted(const Pass& pass,
+                                         const Group& group,
+                                         const InstanceId& member);
 
   EngineGroupsSettings m_settings;
-  /// \brief Each epoch of a group stands for itself until its head certainly takes no work.
+  /// \brief Each epoch of a group is a separate entry until its head certainly takes no work.
   std::map<GroupKey, Group> m_groups;
-  std::vector<TimePoint> m_loads; ///< When loads began lately.
+  std::vector<TimePoint> m_loads; ///< Start times of recent loads.
   struct Staging
   {
-    std::string model; ///< kUnknownWeights where the host loads what another leader ordered.
+    std::string model; ///< kUnknownWeights while the host runs a load of another leader.
     TimePoint since{};
-    Duration loadTime{}; ///< Of the model that was ordered, alone.
+    Duration loadTime{}; ///< Of the ordered model, without concurrent loads.
   };
   std::map<InstanceId, Staging> m_staging;
-  std::map<InstanceId, TimePoint> m_unanswered; ///< Probes without an answer, until the next word.
-  std::map<InstanceId, TimePoint> m_standbySince; ///< When targets were told to hold weights ready.
-  std::map<InstanceId, Incarnation> m_lives;      ///< Of the targets in the table, as last seen.
+  std::map<InstanceId, TimePoint> m_unanswered;     ///< When orders got no answer, by target.
+  std::map<InstanceId, TimePoint> m_standbySince;   ///< When targets were ordered to stand by.
+  std::map<InstanceId, Incarnation> m_incarnations; ///< Of the targets in the table.
   SlowTargets m_slow;
   TargetVerifier m_verifier;
-  std::vector<std::pair<InstanceId, double>> m_paceNews; ///< Changes that are not reported yet.
-  TimePoint m_lostGroupAt{};                             ///< When a group last ended by a fault.
-  std::map<std::string, TimePoint> m_toldShort; ///< By model: when its lack was last reported.
+  std::vector<std::pair<InstanceId, double>> m_paceChanges; ///< Not reported yet.
+  TimePoint m_lostGroupAt{}; ///< When a group was last lost to a fault.
+  /// \brief When the shortage of a model was last reported, by model.
+  std::map<std::string, TimePoint> m_shortageReportedAt;
   std::size_t m_knownTargets = 0;
   TimePoint m_newTargetAt{}; ///< When the table last grew.
-  /// \brief How a group came to be over.
+  /// \brief How a group was released.
   struct Release
   {
     TimePoint at{};
-    bool isCertain = false; ///< Its head takes no work; else nobody reached it or any member.
+    bool isCertain = false; ///< The head takes no work; else the group was unreachable.
   };
 
-  /// \brief Groups that are over although members still report them.
+  /// \brief Released groups that members still report.
   std::map<GroupKey, Release> m_released;
-  std::optional<TimePoint> m_leadsSince;
-  Duration m_reportLag{};                 ///< How old a report may be: the longest of all services.
-  std::optional<TimePoint> m_demandSince; ///< Callers' requests are known of since then.
-  std::uint64_t m_formed = 0;             ///< In this term.
+  std::optional<TimePoint> m_leaderSince;
+  Duration m_reportLag{};                 ///< Maximum age of a report over all services.
+  std::optional<TimePoint> m_demandSince; ///< Since when the callers' demand is known.
+  std::uint64_t m_formed = 0;             ///< Epochs assigned in this term.
 };
 
 } // namespace gooseberrysail
--- a/include/gooseberrysail/control/group_planning.hpp
+++ b/include/gooseberrysail/control/group_planning.hpp
@@ -11,11 +11,11 @@
 
 namespace gooseberrysail {
 
-/// \brief Decides which groups to form and give up.
+/// \brief Decides which groups to form, drain and dissolve.
 using PlanHook = std::function<std::vector<PlannerAction>(TimePoint now, const PlannerInput&)>;
 
-/// \brief About once a second shows the planner what there is and proposes what it decides; forms
-/// the one-VM groups of plain services itself.
+/// \brief Runs the planner about once a second and proposes its actions; forms the one-VM groups of
+/// plain services itself.
 class GroupPlanning
 {
 public:
@@ -39,10 +39,10 @@
                const PlannerAction& action);
 
   PlanHook m_plan;
-  /// What was planned on: news of the fleet or the catalogue speed the next planning up.
-  std::tuple<std::uint64_t, std::uint64_t, LogIndex> m_plannedOn;
+  /// Revisions of the planner's inputs; a change of them makes the next planning run earlier.
+  std::tuple<std::uint64_t, std::uint64_t, LogIndex> m_plannedRevisions;
   TimePoint m_lastPlan{};
-  std::vector<VmId> m_engines; ///< In order, as of m_sortedRevision.
+  std::vector<VmId> m_engines; ///< Sorted, as of m_sortedRevision.
   std::uint64_t m_sortedRevision = 0;
 };
 
--- a/include/gooseberrysail/control/group_table.hpp
+++ b/include/gooseberrysail/control/group_table.hpp
@@ -13,14 +13,14 @@
 
 namespace gooseberrysail {
 
-/// \brief A target VM as committed: where it is and what it belongs to.
+/// \brief A committed target VM with its record and its group.
 struct VmRow
 {
   wire::VmRecordT record;
   GroupId group; ///< None when free.
 };
 
-/// \brief A group as committed. Its epoch is its id: both are the log index of its formation.
+/// \brief A committed group. Its epoch equals its id: the log index at which it was formed.
 struct GroupRow
 {
   GroupId group;
@@ -29,8 +29,8 @@
   VmId head;
   std::vector<VmId> members;
   bool draining = false;
-  bool dissolved = false; ///< Grants no lease any more; waits until each member is free.
-  std::string reason;     ///< Of draining or dissolution.
+  bool dissolved = false; ///< Grants no more leases; waits until all members are freed.
+  std::string reason;     ///< Why it is draining or dissolved.
   std::vector<VmId> freed;
 
   [[nodiscard]] bool HasMember(const VmId& vm) const;
@@ -38,12 +38,12 @@
 };
 
 /// \brief The replicated VMs and groups.
-/// \remarks No VM belongs to two groups: Form refuses a VM that is not free, whatever the proposer
-/// believed, and the log gives all proposals one order.
+/// \remarks No VM belongs to two groups: Form refuses a VM that is not free, whatever state the
+/// proposer had, and the log puts all proposals into one order.
 class GroupTable
 {
 public:
-  /// \brief Why a command had no effect; "" when it had.
+  /// \brief Why a command had no effect; empty when it had one.
   using Refusal = std::string;
 
   Refusal Upsert(const wire::VmRecordT& record);
@@ -51,7 +51,7 @@
   Refusal Form(LogIndex index, const wire::FormGroupT& command);
   Refusal Drain(GroupId group, const std::string& reason);
   Refusal Dissolve(GroupId group, const std::string& reason);
-  /// \brief Frees a member of a dissolved group; the last one ends the group.
+  /// \brief Frees a member of a dissolved group; freeing the last one removes the group.
   Refusal Free(const VmId& vm, GroupId group);
 
   [[nodiscard]] const VmRow* FindVm(const VmId& vm) const;
@@ -59,7 +59,7 @@
   [[nodiscard]] const std::unordered_map<VmId, VmRow>& Vms() const noexcept { return m_vms; }
   [[nodiscard]] const std::map<GroupId, GroupRow>& Groups() const noexcept { return m_groups; }
 
-  /// \brief Counts the commands that had an effect, so that readers can skip an unchanged table.
+  /// \brief Increases with each change, so that readers can skip an unchanged table.
   [[nodiscard]] std::uint64_t Revision() const noexcept { return m_revision; }
 
   void SaveTo(wire::ControlSnapshotT& snapshot) const;
--- a/include/gooseberrysail/control/head_shares.hpp
+++ b/include/gooseberrysail/control/head_shares.hpp
@@ -7,7 +7,7 @@
 #include <map>
 #include <span>
 
-/// \file How the heads of one model's groups are divided among the entries.
+/// \file Divides the heads of one model's groups among the entries.
 
 namespace gooseberrysail {
 
@@ -15,7 +15,7 @@
 {
   ProcessId entry;
   FailureDomainId failureDomain;
-  double part = 0; ///< Of the model's requests, 0 to 1.
+  double part = 0; ///< Fraction of the model's requests, 0 to 1.
 };
 
 struct HeadCapacity
@@ -25,14 +25,14 @@
   std::uint32_t slots = 1;
 };
 
-/// \brief Which part of each head's slots an entry may use.
+/// \brief The fraction of each head's slots that an entry may use.
 using HeadShares = std::map<InstanceId, double>;
 
-/// \brief Divides the heads: each entry gets its part of all slots, at so many heads that it has
-/// some whole places at each, those of its own failure domain first.
-/// \remarks Few entries use every head, each by its part. The heads of an entry come in the order
-/// of a rendezvous hash and no head is given out more than whole (bounded loads), so that a head or
-/// an entry that comes or goes changes little for the others.
+/// \brief Gives each entry its part of all slots, concentrated on so many heads that it has several
+/// whole slots at each; heads of the entry's own failure domain come first.
+/// \remarks With few entries each one uses every head. An entry's heads are ordered by a rendezvous
+/// hash, and no head is allocated beyond its capacity (bounded loads), so that adding or removing a
+/// head or an entry changes little for the others.
 [[nodiscard]] std::map<ProcessId, HeadShares> DivideHeads(std::span<const EntryDemand> entries,
                                                           std::span<const HeadCapacity> heads);
 
--- a/include/gooseberrysail/control/route_distribution.hpp
+++ b/include/gooseberrysail/control/route_distribution.hpp
@@ -12,21 +12,21 @@
 
 namespace gooseberrysail {
 
-/// \brief A group that entries may know of, with its weight for one entry process.
+/// \brief A candidate group with its rendezvous weight for one entry process.
 struct RouteWeight
 {
   GroupId group;
-  bool sameDomain = false; ///< In the failure domain of the entry process.
+  bool sameDomain = false; ///< In the entry process's failure domain.
   std::uint64_t weight = 0;
 };
 
-/// \brief Chooses the candidates of one entry process by rendezvous hashing: half of them from its
-/// own failure domain where there are as many, the others from everywhere.
-/// \remarks A change of one group moves only candidates that name it.
+/// \brief Chooses the candidates of one entry process by rendezvous hashing: up to half of them
+/// from its own failure domain, the others from all domains.
+/// \remarks Adding or removing a group changes only the candidates that refer to it.
 [[nodiscard]] std::vector<GroupId> ChooseRoutes(std::vector<RouteWeight> weights,
                                                 std::size_t wanted);
 
-/// \brief Tells each entry process the groups that it may send work to.
+/// \brief Sends each entry process the groups that it may route work to.
 class RouteDistribution
 {
 public:
@@ -39,13 +39,13 @@
             const TargetMembership& membership,
             const ConfigService& config);
 
-  /// \brief How many entry processes hold a group's route as open.
+  /// \brief The number of entry processes that were sent the group's route as open.
   [[nodiscard]] std::size_t HolderCount(GroupId group) const;
 
 private:
   struct Client
   {
-    bool needsWhole = true;
+    bool needsFullUpdate = true;
     std::uint64_t sequence = 0;
     std::uint64_t acked = 0;
     TimePoint sentAt{};
@@ -66,9 +66,9 @@
                                     const TargetMembership& membership) const;
   void RefreshRows(ControlContext& context, const TargetMembership& membership);
   void RefreshClients(const ControlContext& context, const ConfigService& config);
-  [[nodiscard]] std::map<GroupId, wire::RouteState> Desired(const ControlContext& context,
-                                                            const ProcessId& process,
-                                                            const Client& client) const;
+  [[nodiscard]] std::map<GroupId, wire::RouteState> DesiredRoutes(const ControlContext& context,
+                                                                  const ProcessId& process,
+                                                                  const Client& client) const;
   void SendUpdate(ControlContext& context,
                   const ProcessId& process,
                   Client& client,
@@ -78,11 +78,12 @@
   std::unordered_map<ProcessId, Client> m_clients;
   std::map<GroupId, Row> m_rows;                           ///< Open and draining groups.
   std::map<std::string, std::vector<OpenGroup>> m_byEntry; ///< Open groups of each catalogue entry.
-  std::set<GroupId> m_closed; ///< Not open any more since the last tick.
-  bool m_opened = false;      ///< Some group was opened since the last choice.
+  std::set<GroupId> m_closed;                              ///< Closed since the last tick.
+  bool m_opened = false; ///< A group was opened since the routes were last chosen.
   TimePoint m_nextChoice{};
   TimePoint m_nextRefresh{};
-  std::pair<std::uint64_t, std::uint64_t> m_refreshedOn; ///< Revisions of what was looked at.
+  /// Revisions of the inputs at the last refresh.
+  std::pair<std::uint64_t, std::uint64_t> m_refreshedRevisions;
 };
 
 } // namespace gooseberrysail
--- a/include/gooseberrysail/control/serving_control.hpp
+++ b/include/gooseberrysail/control/serving_control.hpp
@@ -15,18 +15,18 @@
 
 namespace gooseberrysail {
 
-/// \brief Control's part in serving targets that announce themselves: their table, the serving
-/// document, the groups, and what entries are told.
+/// \brief The control side of serving with targets that announce themselves: the target table, the
+/// serving document, the groups, and the state sent to entries.
 class ServingControl
 {
 public:
   ServingControl(OutsideApi api, EngineGroupsSettings groups);
 
-  /// \returns False for a request of another interface.
+  /// \returns False for a request to another API.
   bool OnRequest(ControlContext& context, const HttpRequestIn& request);
   void OnCallerGone(ExchangeId exchange);
 
-  /// \brief Frames of this subject; others are left alone.
+  /// \brief Handles target reports and serving queries; ignores other frames.
   void OnFrame(ControlContext& context, const ProcessId& peer, const wire::BodyUnion& body);
   void OnPeerUp(const ControlContext& context, const ProcessId& peer);
   void OnPeerDown(const ProcessId& peer);
@@ -37,64 +37,64 @@
   void OnLeaderStart();
   void OnLeadershipLost(ControlContext& context);
 
-  /// \brief Every tick, on every control process.
+  /// \brief Must be called in every tick on every control process, leader or not.
   void Tick(ControlContext& context);
 
   [[nodiscard]] std::size_t OpenCalls() const noexcept { return m_documents.OpenCalls(); }
 
 private:
-  struct OpenOrder
+  struct PendingOrder
   {
     GroupOrder order;
     TimePoint since{};
-    unsigned status = 0; ///< Of an answer that is not whole yet.
+    unsigned status = 0; ///< Of an answer that is not complete yet.
     std::string body;
   };
 
-  void Take(ControlContext& context, ExchangeId exchange, const PutDocumentCall& call);
-  void Take(ControlContext& context, ExchangeId exchange, const GetDocumentCall& call);
-  void Take(ControlContext& context, ExchangeId exchange, const AnnounceCall& call);
-  void Take(ControlContext& context, ExchangeId exchange, const LeaveCall& call);
-  void Take(ControlContext& context, ExchangeId exchange, const MalformedCall& call);
+  void Handle(ControlContext& context, ExchangeId exchange, const PutDocumentCall& call);
+  void Handle(ControlContext& context, ExchangeId exchange, const GetDocumentCall& call);
+  void Handle(ControlContext& context, ExchangeId exchange, const AnnounceCall& call);
+  void Handle(ControlContext& context, ExchangeId exchange, const LeaveCall& call);
+  void Handle(ControlContext& context, ExchangeId exchange, const MalformedCall& call);
 
-  /// \returns False when another process leads or nobody is known to; the caller was told so.
+  /// \returns False when another process leads or no leader is known; responds to the caller then.
   bool IsForLeader(ControlContext& context, ExchangeId exchange);
   void Respond(ControlContext& context, ExchangeId exchange, const OutsideAnswer& answer);
   [[nodiscard]] DocumentService::Respond Responder(ControlContext& context);
-  [[nodiscard]] bool IsNamed(const TargetAnnouncement& announcement) const;
+  [[nodiscard]] bool IsServiceKnown(const TargetAnnouncement& announcement) const;
   void NoteChange(ControlContext& context, const InstanceId& instance);
   void OnHeard(ControlContext& context, const wire::TargetHeardT& heard);
-  /// \brief Whether this process has run for longer than all targets need to speak.
+  /// \brief Whether this process has run long enough to receive a heartbeat of every target.
   [[nodiscard]] bool HasHeardAll(TimePoint now) const noexcept
   {
     return now - m_startedAt >= m_learnTime;
   }
-  void FollowDocument(ControlContext& context);
-  void KeepGroups(ControlContext& context);
-  void TakeReport(ControlContext& context, const OpenOrder& open);
-  void EndOrder(ControlContext& context,
-                ExchangeId exchange,
-                OrderOutcome outcome,
-                unsigned status);
-  /// \brief Whether entries may send the target requests, or lately might.
+  void ApplyStoredDocument(ControlContext& context);
+  void ReconcileGroups(ControlContext& context);
+  void HandleReport(ControlContext& context, const PendingOrder& pending);
+  void CompleteOrder(ControlContext& context,
+                     ExchangeId exchange,
+                     OrderOutcome outcome,
+                     unsigned status);
+  /// \brief Whether entries may send requests to the target, or recently could.
   [[nodiscard]] bool TakesRequests(const TargetAnnouncement& target) const;
   [[nodiscard]] std::vector<ServedTarget> ListTargets(const ControlContext& context);
 
   OutsideApi m_api;
   TargetTable m_targets;
   TargetRelay m_relay;
-  std::map<InstanceId, TimePoint> m_ledAt; ///< When heads last led a group that serves.
+  std::map<InstanceId, TimePoint> m_lastLedAt; ///< When heads last led a serving group.
   DocumentService m_documents;
   RefusedCalls m_refused;
   EngineGroups m_groups;
-  Duration m_learnTime; ///< From the process's start until it has heard every target.
+  Duration m_learnTime; ///< From the process's start until every target has reported.
   ServingFeed m_feed;
-  std::optional<ServingDocument> m_document; ///< Typed copy of the committed one.
-  std::uint64_t m_documentVersion = 0; ///< Of the committed one that m_document was read from.
-  std::map<ExchangeId, OpenOrder> m_orders;
+  std::optional<ServingDocument> m_document; ///< Parsed from the committed document.
+  std::uint64_t m_documentVersion = 0;       ///< Committed version last read.
+  std::map<ExchangeId, PendingOrder> m_pendingOrders;
   std::uint64_t m_lastOrder = 0;
   TimePoint m_startedAt{};
-  TimePoint m_nextKeep{};
+  TimePoint m_nextReconcile{};
   TimePoint m_nextForget{};
 };
 
--- a/include/gooseberrysail/control/slow_targets.hpp
+++ b/include/gooseberrysail/control/slow_targets.hpp
@@ -8,31 +8,32 @@
 
 namespace gooseberrysail {
 
-/// \brief Targets that reported that they work slowly, until they report otherwise.
+/// \brief The targets whose latest reported pace is slow.
 class SlowTargets
 {
 public:
-  /// \brief From this factor on a target is slow: one member at half speed halves its group.
+  /// \brief Pace from which a target counts as slow: one member at half speed halves the speed of
+  /// its group.
   static constexpr double kSlow = 2;
-  /// \brief From this factor on whatever a target has ends late: the pauses between events of a
-  /// full group, 33 to 55 ms, become longer than the 200 to 300 ms that callers allow.
+  /// \brief Pace from which all answers of a target are late: the intervals between events of a
+  /// full group, 33 to 55 ms, grow to the 200 to 300 ms that callers allow.
   static constexpr double kUseless = 4;
-  /// \brief A slow target is asked again this often; slow spells last some seconds.
+  /// \brief Interval at which a slow target is probed; slow periods last some seconds.
   static constexpr Duration kAskAgain = std::chrono::milliseconds(1500);
 
-  /// \brief A target reported its pace: the factor on its usual times.
-  /// \returns Whether it became slow or sound.
-  bool Note(TimePoint now, const InstanceId& target, double pace);
+  /// \brief Records a target's pace: the factor by which its work takes longer than usual.
+  /// \returns Whether the target became slow or stopped being slow.
+  bool Record(TimePoint now, const InstanceId& target, double pace);
 
-  /// \brief The factor on its usual times; 1 for a target that is not known to be slow.
+  /// \brief The reported pace; 1 for a target that is not known to be slow.
   [[nodiscard]] double PaceOf(const InstanceId& target) const;
 
   [[nodiscard]] bool IsSlow(const InstanceId& target) const { return m_rows.contains(target); }
 
-  /// \brief Slow targets that should be asked again, which counts as done.
+  /// \brief Returns the slow targets that are due for a probe, and records them as probed now.
   [[nodiscard]] std::vector<InstanceId> TakeDue(TimePoint now);
 
-  /// \brief Drops targets that are no more.
+  /// \brief Drops targets that left or are no longer in the table.
   void Forget(const TargetTable& targets);
 
   void Forget(const InstanceId& target) { m_rows.erase(target); }
--- a/include/gooseberrysail/control/target_changes.hpp
+++ b/include/gooseberrysail/control/target_changes.hpp
@@ -9,8 +9,8 @@
 
 namespace gooseberrysail {
 
-/// \brief The targets that entries use, each with the sequence of its latest change: what an entry
-/// lacks since any earlier sequence can be told without the rest.
+/// \brief The targets that entries use, each with the sequence number of its latest change, so that
+/// an entry can be sent only the changes since an earlier sequence number.
 /// \code
 /// TargetChanges changes;
 /// changes.Set(targets);
@@ -19,30 +19,30 @@
 class TargetChanges
 {
 public:
-  /// \brief How soon entries must learn of a change.
+  /// \brief How soon a change must be sent to entries.
   enum class Urgency
   {
-    kNone,     ///< Nothing changed.
-    kDeferrable, ///< It may wait for a moment and go out with others.
-    kImmediate,   ///< A caller is served worse while an entry doesn't know it.
+    kNone,       ///< Nothing changed.
+    kDeferrable, ///< It may be delayed and batched with others.
+    kImmediate,  ///< Callers are served worse until entries receive it.
   };
 
-  /// \brief Takes over the whole list; a difference makes a new sequence.
+  /// \brief Replaces the list; a difference starts a new sequence number.
   Urgency Set(std::span<const ServedTarget> targets);
 
-  /// \brief Forgets everything; sequences start anew.
+  /// \brief Removes all state and restarts the sequence.
   void Reset();
 
-  /// \brief Of the latest change; 0: no list was taken over yet.
+  /// \brief The sequence number of the latest change; 0 before the first Set().
   [[nodiscard]] std::uint64_t Sequence() const noexcept { return m_sequence; }
 
-  /// \brief Writes what changed after `base`, or the whole list where that can't be told.
-  /// \param base The sequence that the reader has; 0: none of this leader's.
+  /// \brief Writes the changes after `base`, or the whole list when they are not all recorded.
+  /// \param base The sequence number that the reader has; 0 when it has no state of this leader.
   void Fill(std::uint64_t base, wire::ServingStateT& state) const;
 
-  /// \brief Rows that are gone are remembered up to this many; a reader that lacks more is told the
+  /// \brief Maximum number of recorded removals; a reader that has missed older ones is sent the
   /// whole list.
-  static constexpr std::size_t kMaxGone = 4096;
+  static constexpr std::size_t kMaxRemoved = 4096;
 
 private:
   struct Row
@@ -52,12 +52,12 @@
   };
 
   Urgency Add(const ServedTarget& target);
-  void RememberGone(const InstanceId& instance);
+  void RecordRemoval(const InstanceId& instance);
 
   std::map<InstanceId, Row> m_rows;
-  std::map<InstanceId, std::uint64_t> m_gone; ///< With the sequence in which they went.
+  std::map<InstanceId, std::uint64_t> m_removed; ///< The sequence number of the removal.
   std::uint64_t m_sequence = 0;
-  std::uint64_t m_oldestBase = 0; ///< What is gone since an earlier sequence isn't all known.
+  std::uint64_t m_oldestBase = 0; ///< Removals after an earlier base are not all recorded.
 };
 
 } // namespace gooseberrysail
--- a/include/gooseberrysail/control/target_relay.hpp
+++ b/include/gooseberrysail/control/target_relay.hpp
@@ -8,41 +8,42 @@
 
 namespace gooseberrysail {
 
-/// \brief Passes on to the other control processes what targets said to this one, so that a new
-/// leader knows who is there at once.
-/// \remarks What waits for a process is which targets it has yet to hear of: never more than there
-/// are targets, and each is told as it is when the frame is made.
+/// \brief Forwards target announcements that this process received to the other control processes,
+/// so that a new leader knows the targets immediately.
+/// \remarks The queue of a process holds target ids, so that it is bounded by the number of
+/// targets; a frame carries the state of each target at the time when the frame is built.
 class TargetRelay
 {
 public:
-  /// \brief A target said something here.
-  /// \param isNews What others must learn at once; else it only shows that the target lives.
-  void Note(const ControlContext& context, const InstanceId& instance, bool isNews);
+  /// \brief Queues a target that announced itself to this process.
+  /// \param isUrgent Whether its state changed and must be sent at once; else it is only a
+  /// heartbeat.
+  void Enqueue(const ControlContext& context, const InstanceId& instance, bool isUrgent);
 
-  /// \brief A control process is connected: it may have missed what was said before, or just have
-  /// started.
+  /// \brief A control process connected. It may have missed earlier announcements or just started.
   void OnPeerUp(const ControlContext& context,
                 const ProcessId& process,
                 const TargetTable& targets);
 
-  /// \brief A connection ended, and what was sent on it may be lost.
-  void OnPeerDown(const ProcessId& process) { m_waiting.erase(process); }
+  /// \brief A connection ended; frames sent on it may be lost.
+  void OnPeerDown(const ProcessId& process) { m_pending.erase(process); }
 
-  /// \brief Sends one frame to each process that has yet to hear something.
+  /// \brief Sends one frame to each process whose queue is due.
   void Tick(ControlContext& context, const TargetTable& targets);
 
-  /// \brief Signs of life wait for this long, so that one frame carries those of many targets. A
-  /// target is taken for lost after several of its heartbeats, which are longer apart.
-  static constexpr Duration kJoinTime = std::chrono::milliseconds(100);
+  /// \brief Heartbeats are delayed by this long, so that one frame carries those of many targets.
+  /// The delay is harmless: a target counts as lost after several heartbeat intervals, which are
+  /// longer.
+  static constexpr Duration kBatchDelay = std::chrono::milliseconds(100);
 
 private:
-  struct Waiting
+  struct Pending
   {
     std::set<InstanceId> targets;
-    TimePoint due{}; ///< Of the first of them.
+    TimePoint due{}; ///< Of the target that is due first.
   };
 
-  std::map<ProcessId, Waiting> m_waiting;
+  std::map<ProcessId, Pending> m_pending;
 };
 
 } // namespace gooseberrysail
--- a/include/gooseberrysail/control/target_verifier.hpp
+++ b/include/gooseberrysail/control/target_verifier.hpp
@@ -11,71 +11,74 @@
 
 namespace gooseberrysail {
 
-/// \brief Which targets are there and which groups they are in, by their own answers.
-/// \remarks What targets say of themselves is passed on, held up and overtaken: a leader's latest
-/// word of a target may be older than the group that it is in; and a restart leaves an address to
-/// another identity, whose first words may arrive before the former one's last. An answer comes
-/// from the target that is there when it is asked; only an answer to an order tells which one it
-/// is.
+/// \brief Verifies by direct queries which targets exist and which groups they are in.
+/// \remarks Announcements are relayed and can be delayed or reordered: the leader's latest report
+/// of a target may be older than the target's current group. After a restart an address may belong
+/// to another identity, whose first announcement may arrive before the former one's last. The
+/// answer to a query comes from the target that is at the address when it is asked, but only the
+/// answer to an order shows which identity that is.
 class TargetVerifier
 {
 public:
-  /// \brief An identity that is over, since another one answered at its address.
+  /// \brief A former identity of an address at which another one has answered.
   struct Replacement
   {
     TargetLife former;
     InstanceId present;
   };
 
-  /// \brief A target without an answer is asked again after this. An answer takes some 10 ms, and a
-  /// lost packet is sent again within 300 ms.
+  /// \brief Minimum interval between two queries of a target. An answer takes some 10 ms, and a
+  /// lost packet is retransmitted within 300 ms.
   static constexpr Duration kAskAgain = std::chrono::milliseconds(500);
 
-  /// \brief A new leader knows nothing by answers to itself.
+  /// \brief Discards all answers; for the start of a new leader.
   void Clear();
 
-  /// \brief Learns from the table which identities share an address.
-  /// \returns What is over by the answers that came since the last call.
+  /// \brief Finds the identities in the table that share an address.
+  /// \returns The replacements shown by the answers since the last call.
   std::vector<Replacement> Update(const TargetTable& targets);
 
-  /// \brief Targets of contested addresses that should be asked now who they are, which counts as
-  /// done.
-  /// \param isEngine Others don't understand the question.
+  /// \brief Returns the targets at contested addresses that are due for a query of their identity,
+  /// and records them as queried now.
+  /// \param isEngine Selects the targets that support the query.
   [[nodiscard]] std::vector<InstanceId> TakeContested(
     TimePoint now,
     const TargetTable& targets,
     const std::function<bool(const TargetRow&)>& isEngine);
 
-  /// \brief The same of those for which `isDoubtful` holds: which group they are in.
-  [[nodiscard]] std::vector<InstanceId> TakeDoubtful(
+  /// \brief Returns the targets matching `isUnconfirmed` that are due for a query of their group,
+  /// and records them as queried now.
+  [[nodiscard]] std::vector<InstanceId> TakeUnconfirmed(
     TimePoint now,
     const TargetTable& targets,
-    const std::function<bool(const TargetRow&)>& isDoubtful);
+    const std::function<bool(const TargetRow&)>& isUnconfirmed);
 
-  /// \brief The target itself, and no other at its address, answered a question of `askedAt`.
+  /// \brief The target itself, not another at its address, answered a query sent at `askedAt`.
   void OnIdentified(TimePoint askedAt, const TargetLife& life);
 
-  /// \brief A report came from the target's address, asked for at `askedAt`.
+  /// \brief A report requested at `askedAt` came from the target's address.
   void OnReport(TimePoint askedAt, const TargetLife& life, const TargetReport& report);
 
-  /// \brief The target's own last answer names the same group as its last word.
+  /// \brief The last answer from the target names the same group as its latest report in the table.
   [[nodiscard]] bool Confirms(const TargetRow& row) const;
 
-  /// \brief The target itself, asked at `since` or later, named another group or none.
+  /// \brief The last answer from the target, queried at `since` or later, names another group or
+  /// none.
   [[nodiscard]] bool DeniesGroup(const TargetRow& row,
                                  const GroupMembership& membership,
                                  TimePoint since) const;
 
-  /// \brief Another target answered at its address: that life is over.
+  /// \brief Another target answered at the address: this incarnation has ended.
   void OnReplaced(const TargetLife& life) { m_replaced.insert(life); }
 
-  /// \brief Certainly over: another identity was there after the last word of this one.
+  /// \brief The target's incarnation has certainly ended: another identity answered at its address
+  /// after its last announcement.
   [[nodiscard]] bool IsReplaced(const TargetRow& row) const
   {
     return m_replaced.contains({ row.latest.instance, row.latest.born });
   }
 
-  /// \brief Another identity names the same address, and it isn't known yet which one is there.
+  /// \brief Another identity announced the same address, and which one is current is not known yet.
   [[nodiscard]] bool IsContested(const InstanceId& instance) const
   {
     return m_contested.contains(instance);
@@ -86,16 +89,16 @@
   {
     Incarnation born;
     TimePoint askedAt{};
-    std::optional<GroupMembership> membership; ///< Of reports only.
+    std::optional<GroupMembership> membership; ///< Set for reports only.
   };
 
-  /// \brief One question to many targets: when each was asked, and its last answer.
+  /// \brief One kind of query: when each target was last asked, and its last answer.
   struct Question
   {
     std::map<InstanceId, TimePoint> askedAt;
     std::map<InstanceId, Answer> answers;
 
-    /// \brief Null when this life of the target has not answered yet.
+    /// \brief Null when this incarnation of the target has not answered yet.
     [[nodiscard]] const Answer* FindAnswer(const TargetRow& row) const;
     [[nodiscard]] bool MayAsk(TimePoint now, const TargetRow& row) const;
     void Forget(const TargetTable& targets);
@@ -104,11 +107,11 @@
   using Rows = std::vector<const TargetRow*>;
 
   void Forget(const TargetTable& targets);
-  std::vector<InstanceId> Take(TimePoint now,
-                               const TargetTable& targets,
-                               Question& question,
-                               const std::function<bool(const TargetRow&)>& mustAsk) const;
-  [[nodiscard]] const TargetRow* FindPresent(const Rows& rows, const TargetRow& row) const;
+  std::vector<InstanceId> TakeDue(TimePoint now,
+                                  const TargetTable& targets,
+                                  Question& question,
+                                  const std::function<bool(const TargetRow&)>& mustAsk) const;
+  [[nodiscard]] const TargetRow* FindReplacement(const Rows& rows, const TargetRow& row) const;
 
   Question m_identities;
   Question m_reports;
--- a/include/gooseberrysail/control/usage_shares.hpp
+++ b/include/gooseberrysail/control/usage_shares.hpp
@@ -10,8 +10,8 @@
 
 namespace gooseberrysail {
 
-/// \brief Divides a limit by demand: nobody gets more than it asks for while another lacks, and
-/// what is left over is spread evenly.
+/// \brief Divides a limit by demand (max-min fairness): no demand is exceeded while another is not
+/// met, and the remainder is spread evenly.
 /// \returns A part for each demand; the parts sum up to the limit.
 /// \code
 /// DivideByDemand(10, std::array{ 2.0, 20.0 }); // { 2, 8 }
@@ -22,7 +22,7 @@
 [[nodiscard]] std::vector<std::uint32_t> DivideWhole(std::uint32_t limit,
                                                      std::span<const double> parts);
 
-/// \brief Shares each workspace's limits between the entries by what their callers ask for.
+/// \brief Divides each workspace's limits among the entries by their callers' demand.
 class UsageShares
 {
 public:
--- a/src/control/engine_groups.cpp
+++ b/src/control/engine_groups.cpp
@@ -16,14 +16,15 @@
 using impl::Reports;
 using wire::MemberState;
 
-/// A target that spoke within this needs no probe.
+/// A target whose latest heartbeat is younger than this needs no probe.
 constexpr Duration kProbeSilence = 300ms;
-/// Orders act within some 100 ms and targets report at once; one without effect is given again.
+/// Orders take effect within some 100 ms and targets report changes at once; an order without
+/// effect is repeated after this.
 constexpr Duration kOrderRetry = 1500ms;
-/// Streams last some 2 s and a group that is given up takes none; one whose head died meanwhile
-/// would keep the others waiting.
-constexpr Duration kGatherPatience = 4s;
-/// A join that takes longer than this beside its load has failed.
+/// Timeout of the gathering phase. Streams last some 2 s and an ending group accepts no new ones,
+/// but a group whose head died meanwhile would block the other members.
+constexpr Duration kGatherTimeout = 4s;
+/// Time allowed for joining in addition to the load.
 constexpr Duration kJoinSlack = 10s;
 
 } // namespace
@@ -56,18 +57,18 @@
 
 void EngineGroups::OnLeaderStart()
 {
-  m_leadsSince.reset();
+  m_leaderSince.reset();
   m_groups.clear();
   m_released.clear();
   m_loads.clear();
   m_staging.clear();
   m_unanswered.clear();
   m_standbySince.clear();
-  m_toldShort.clear();
+  m_shortageReportedAt.clear();
   m_demandSince.reset();
   m_slow.Clear();
   m_verifier.Clear();
-  m_paceNews.clear();
+  m_paceChanges.clear();
   m_formed = 0;
 }
 
@@ -75,55 +76,55 @@
                         std::vector<GroupOrder>& orders,
                         std::vector<EventOut>& events)
 {
-  if (!m_leadsSince) {
-    m_leadsSince = input.now;
+  if (!m_leaderSince) {
+    m_leaderSince = input.now;
   }
   m_reportLag = Duration::zero();
   for (const ServiceDefinition& service : input.document.services) {
     m_reportLag = std::max(m_reportLag, service.engine ? service.engine->reportLag : Duration());
   }
   Pass pass{ input, orders, events, {}, {} };
-  Keep(pass);
+  Reconcile(pass);
   for (GroupOrder& order : orders) {
     order.givenAt = input.now;
   }
 }
 
-void EngineGroups::Keep(Pass& pass)
+void EngineGroups::Reconcile(Pass& pass)
 {
-  ForgetFormerLives(pass);
-  AskUnverified(pass);
-  ReportPaces(pass);
-  AskSlowAgain(pass);
+  ForgetFormerIncarnations(pass);
+  QueryUnverifiedTargets(pass);
+  ReportPaceChanges(pass);
+  ProbeSlowTargets(pass);
   Adopt(pass);
   for (auto& [key, group] : m_groups) {
     Advance(pass, group);
   }
   DropEnded(pass);
-  // What ended in this tick frees members at once.
+  // Groups that ended in this tick free their members at once.
   for (auto& [key, group] : m_groups) {
     if (group.phase == Phase::kGathering) {
       AdvanceGathering(pass, group);
     }
   }
   DropEnded(pass);
-  ForgetGone(pass);
+  ForgetRemovedTargets(pass);
   if (!IsSettled(pass)) {
     return;
   }
   for (const ServiceDefinition& service : pass.input.document.services) {
     if (service.engine) {
-      Form(pass, service);
+      FormGroups(pass, service);
     }
   }
 }
 
-void EngineGroups::ForgetGone(const Pass& pass)
+void EngineGroups::ForgetRemovedTargets(const Pass& pass)
 {
   const auto isGone = [&](const auto& row) { return pass.Row(row.first) == nullptr; };
   std::erase_if(m_unanswered, isGone);
   std::erase_if(m_standbySince, isGone);
-  std::erase_if(m_lives, isGone);
+  std::erase_if(m_incarnations, isGone);
 }
 
 void EngineGroups::DropEnded(Pass& pass)
@@ -132,12 +133,12 @@
     m_released[key] = { pass.input.now, true };
     m_groups.erase(key);
   }
-  for (const GroupKey& key : pass.outOfReach) {
+  for (const GroupKey& key : pass.unreachable) {
     m_released[key] = { pass.input.now, false };
     m_groups.erase(key);
   }
   pass.dropped.clear();
-  pass.outOfReach.clear();
+  pass.unreachable.clear();
 }
 
 void EngineGroups::Advance(Pass& pass, Group& group)
@@ -163,7 +164,7 @@
   }
 }
 
-bool EngineGroups::IsWhole(const Pass& pass, const Group& group)
+bool EngineGroups::IsComplete(const Pass& pass, const Group& group)
 {
   const bool allKnown =
     std::ranges::none_of(group.members, [](const InstanceId& member) { return member.IsNone(); });
@@ -187,9 +188,9 @@
 
 void EngineGroups::AdvanceGathering(Pass& pass, Group& group)
 {
-  if (HasFailedMember(pass, group) || pass.input.now - group.since > kGatherPatience) {
-    // No member was told of it yet.
-    ReportEnded(pass, group, "its members did not come together");
+  if (HasFailedMember(pass, group) || pass.input.now - group.since > kGatherTimeout) {
+    // No member has received an order of this group yet.
+    ReportEnded(pass, group, "a member failed or was not free in time");
     pass.dropped.push_back(group.Key());
     return;
   }
@@ -213,14 +214,13 @@
 void EngineGroups::AdvanceJoining(Pass& pass, Group& group)
 {
   const GroupModel* model = ModelOf(pass, group);
-  const Duration patience =
-    kJoinSlack + (model == nullptr ? Duration::zero() : 2 * model->loadTime);
-  if (HasFailedMember(pass, group) || pass.input.now - group.since > patience) {
+  const Duration timeout = kJoinSlack + (model == nullptr ? Duration::zero() : 2 * model->loadTime);
+  if (HasFailedMember(pass, group) || pass.input.now - group.since > timeout) {
     if (group.wasAdopted) {
       End(pass, group, "a member failed");
       return;
     }
-    // It was never told to open: its members are free at once.
+    // It was never ordered to open: its members are free at once.
     ReportEnded(pass, group, "a member failed");
     pass.dropped.push_back(group.Key());
     return;
@@ -265,15 +265,16 @@
 void EngineGroups::AdvanceOpen(Pass& pass, Group& group)
 {
   if (HasSuccessor(group)) {
-    // Only an adopted one: its members, heard later, work for the next epoch.
-    End(pass, group, "it went on with another head");
+    // Only possible for an adopted group: its members, which reported later, are in the next epoch.
+    End(pass, group, "it continued with another head");
     return;
   }
   const TargetRow* head = pass.Row(group.members.front());
   if (!Reports(head, group.name, group.epoch) || !IsOpenState(head->latest.membership.state)) {
-    const bool isDoubtful = head != nullptr && !IsKnown(pass, *head) && !IsSilent(pass, *head);
-    if (!isDoubtful) {
-      EndLost(pass, group, "its head serves no more");
+    const bool isUnconfirmed =
+      head != nullptr && !IsConfirmed(pass, *head) && !IsSilent(pass, *head);
+    if (!isUnconfirmed) {
+      EndLost(pass, group, "its head no longer serves");
     }
     return;
   }
@@ -282,59 +283,59 @@
   for (const InstanceId& member : group.members) {
     const TargetRow* row = pass.Row(member);
     if (member.IsNone()) {
-      continue; // Not heard since this process started.
+      continue; // Has not reported since this process started.
     }
     if (IsLeaving(row)) {
       End(pass, group, "a member is leaving");
       return;
     }
-    if (IsReborn(pass, group, member) || m_verifier.IsReplaced(*row)) {
+    if (HasRestarted(pass, group, member) || m_verifier.IsReplaced(*row)) {
       group.cut = true;
       EndLost(pass, group, "a member was restarted");
       return;
     }
     if (!Reports(row, group.name, group.epoch)) {
       group.cut = true;
-      EndLost(pass, group, "a member is in it no more");
+      EndLost(pass, group, "a member is no longer in the group");
       return;
     }
     if (isFailing && IsSilent(pass, *row)) {
-      // The head waits for a dead member: nothing that it has can end, and its callers were told.
+      // The head waits for a dead member: its work can't complete, and its callers were notified.
       group.cut = true;
-      EndLost(pass, group, "a member is silent and the head stands still");
+      EndLost(pass, group, "a member is silent and the head is stalled");
       return;
     }
   }
   if (isFailing) {
     ProbeMembers(pass, group);
   }
-  AskStragglers(pass, group);
+  ProbeStragglers(pass, group);
   if (ShouldLeaveStragglers(pass, group)) {
     group.cut = PaceOf(group) >= SlowTargets::kUseless;
     End(pass, group, "a member is slow");
     return;
   }
-  // A head that is cut off from control only still answers the entries; its group goes on.
-  const bool isSilent =
-    isFailing ? IsSilent(pass, *head) : pass.input.now - head->heardAt > m_settings.Silence();
+  // A head that is cut off from control but still answers the entries keeps its group.
+  const bool isSilent = isFailing ? IsSilent(pass, *head)
+                                  : pass.input.now - head->heardAt > m_settings.SilenceTimeout();
   const bool answers = pass.input.answering.contains(instance);
   if (isSilent && (isFailing || !answers)) {
     EndLost(pass, group, "its head is silent");
   }
 }
 
-// A target that died a moment ago still looks alive by its heartbeats, and a group formed with it
-// waits for its join in vain.
+// A target that died recently still seems alive by its last heartbeat, and a group formed with it
+// would wait for its join in vain. An unanswered probe reveals it earlier.
 bool EngineGroups::IsSilent(const Pass& pass, const TargetRow& row) const
 {
   const auto unanswered = m_unanswered.find(row.latest.instance);
   const bool gaveNoAnswer =
     unanswered != m_unanswered.end() && unanswered->second > row.heardAt + kProbeSilence;
-  return gaveNoAnswer || pass.input.now - row.heardAt > m_settings.SuspectSilence();
+  return gaveNoAnswer || pass.input.now - row.heardAt > m_settings.SuspectTimeout();
 }
 
-// A head that stands still waits for a member. Heartbeats would tell which one only after 1.8 s;
-// one that lives answers a probe in milliseconds.
+// A stalled head waits for a member. Missing heartbeats would show which one only after 1.8 s, but
+// a live member answers a probe within milliseconds.
 void EngineGroups::ProbeMembers(Pass& pass, Group& group)
 {
   for (const InstanceId& member : group.members) {
@@ -368,12 +369,12 @@
   pass.orders.push_back(std::move(order));
 }
 
-// A group whose loss shows in the next tick has nothing to give.
-bool EngineGroups::IsSound(const Pass& pass, const Group& group) const
+// A group that is about to be lost must not be chosen to release its targets.
+bool EngineGroups::IsHealthy(const Pass& pass, const Group& group) const
 {
   return !HasFailedMember(pass, group) && PaceOf(group) < SlowTargets::kSlow &&
          std::ranges::all_of(group.members, [&](const InstanceId& member) {
-           return IsKnown(pass, *pass.Row(member));
+           return IsConfirmed(pass, *pass.Row(member));
          });
 }
 
@@ -385,22 +386,22 @@
 bool EngineGroups::HasFailedMember(const Pass& pass, const Group& group) const
 {
   return std::ranges::any_of(group.members, [&](const InstanceId& member) {
-    return HasFailed(pass, pass.Row(member)) || IsReborn(pass, group, member);
+    return HasFailed(pass, pass.Row(member)) || HasRestarted(pass, group, member);
   });
 }
 
-// Under its old name a target that started again looks as if it had only left the group; told to
-// join once more it would load its weights anew, and a group that is opening would open without it.
-bool EngineGroups::IsReborn(const Pass& pass, const Group& group, const InstanceId& member)
+// A target that restarted under the same name seems to have only left the group. Ordered to join
+// again it would reload its weights, and a group that is opening would open without it.
+bool EngineGroups::HasRestarted(const Pass& pass, const Group& group, const InstanceId& member)
 {
   const TargetRow* row = pass.Row(member);
-  const auto life = group.lives.find(member);
-  return row != nullptr && life != group.lives.end() && row->latest.born > life->second;
+  const auto life = group.incarnations.find(member);
+  return row != nullptr && life != group.incarnations.end() && row->latest.born > life->second;
 }
 
 void EngineGroups::OnOrderOutcome(TimePoint now, const GroupOrder& order, OrderOutcome outcome)
 {
-  NoteIdentity(order, outcome);
+  RecordIdentity(order, outcome);
   if (order.kind == GroupOrderKind::kProbe) {
     if (outcome != OrderOutcome::kDone) {
       m_unanswered[order.target] = now;
@@ -410,11 +411,11 @@
   if (outcome == OrderOutcome::kNoTarget) {
     m_unanswered[order.target] = now;
   }
-  if (!m_leadsSince || order.givenAt < *m_leadsSince) {
-    return; // Of a former term: what this one knows of the target is younger.
+  if (!m_leaderSince || order.givenAt < *m_leaderSince) {
+    return; // Sent in an earlier term: this term's knowledge of the target is newer.
   }
   if (order.kind == GroupOrderKind::kStage) {
-    NoteLoad(now, order, outcome);
+    RecordLoadOutcome(now, order, outcome);
     return;
   }
   const auto found = m_groups.find({ order.group, order.epoch });
@@ -427,7 +428,7 @@
     group.openedAt = now;
   }
   if (group.phase == Phase::kEnding) {
-    NoteHeadsAnswer(now, group, order.kind, outcome);
+    RecordHeadAnswer(now, group, order.kind, outcome);
   }
 }
 
--- a/src/control/engine_groups_ending.cpp
+++ b/src/control/engine_groups_ending.cpp
@@ -11,18 +11,18 @@
 using impl::Reports;
 using wire::MemberState;
 
-/// A head opens some 0.3 s after the order; by then its heartbeat tells.
+/// A head opens some 0.3 s after the order; after this its heartbeat reports the result.
 constexpr Duration kOpenSlack = 1s;
-/// Beside the time that a head stands still: the order's way and the head's own timer.
+/// Added to the time that a head is stalled, for the order's transit and the head's own timer.
 constexpr Duration kStandstillSlack = 400ms;
 
 } // namespace
 
-// The head may go on serving until it says otherwise; a member that joined another group meanwhile
-// would work for two.
+// The head may serve until it reports otherwise. A member that joined another group before that
+// would work for two groups.
 void EngineGroups::AdvanceEnding(Pass& pass, Group& group)
 {
-  if (const char* evidence = ReleasedBy(pass, group)) {
+  if (const char* evidence = ReleaseEvidence(pass, group)) {
     ReportReleased(pass, group, evidence);
     pass.dropped.push_back(group.Key());
     return;
@@ -30,34 +30,34 @@
   const InstanceId& head = group.members.front();
   const TargetRow* row = pass.Row(head);
   const bool isOver =
-    row != nullptr && (m_verifier.IsReplaced(*row) || IsReborn(pass, group, head));
+    row != nullptr && (m_verifier.IsReplaced(*row) || HasRestarted(pass, group, head));
   if (isOver) {
     group.headIsDead = true;
     return;
   }
-  // A head that has left its group obeys no order of it any more.
+  // A head that has left its group rejects all later orders for it, such as a delayed order to
+  // open.
   const bool isClosed =
-    group.saidClosed || (group.closeBegun && Reports(row, group.name, group.epoch) &&
-                         row->latest.membership.state == MemberState::Ready);
+    group.reportedClosed || (group.closeBegun && Reports(row, group.name, group.epoch) &&
+                             row->latest.membership.state == MemberState::Ready);
   const bool mustLeave = isClosed && MayOpenLate(pass.input.now, group);
   Order(pass, group, head, mustLeave ? GroupOrderKind::kLeave : GroupOrderKind::kClose);
-  AskHead(pass, group);
+  ProbeHead(pass, group);
   const bool silent = row == nullptr || row->latest.left || IsSilent(pass, *row);
   if (!silent) {
-    group.headSilentAt.reset(); // It ends its work, for which it needs its members.
+    group.headSilentAt.reset(); // It finishes its work, for which it needs its members.
     return;
   }
   if (!group.headSilentAt) {
     group.headSilentAt = pass.input.now;
-    return; // Its group may go on at once with another head.
+    return; // The group may continue at once with another head.
   }
-  // The head can't be asked, and may serve on although neither control nor any entry reaches it:
-  // a network fault can hide a target from all of them. Without its members it stands still, and is
-  // broken in the end.
+  // The head is unreachable but may still serve: a network fault can separate it from control and
+  // from all entries. Without its members it stalls and eventually becomes broken.
   for (const auto& [instance, member] : pass.input.targets.Rows()) {
-    const bool isHeard = pass.input.now - member.heardAt <= m_settings.Silence();
+    const bool isHeard = pass.input.now - member.heardAt <= m_settings.SilenceTimeout();
     const bool isMember = instance != head && Reports(&member, group.name, group.epoch);
-    if (isHeard && isMember && !IsWantedBySuccessor(group, instance)) {
+    if (isHeard && isMember && !IsMemberOfSuccessor(group, instance)) {
       Order(pass, group, instance, GroupOrderKind::kLeave);
     }
   }
@@ -67,15 +67,16 @@
   if (!group.incompleteAt && LacksMember(pass, group)) {
     group.incompleteAt = pass.input.now;
   }
-  if (IsOutOfReach(pass, group)) {
-    ReportReleased(pass, group, "none: forgotten until it is heard again");
-    pass.outOfReach.push_back(group.Key());
+  if (IsUnreachable(pass, group)) {
+    ReportReleased(pass, group, "none: unreachable, dropped until a member reports it");
+    pass.unreachable.push_back(group.Key());
   }
 }
 
-// That members were told to leave says nothing: a whole group that was cut off from control heard
-// none of it and served on, and after the time in which a head without a member breaks its members
-// were given to other groups. A member must have left, joined another group, or be dead.
+// An order to leave proves nothing: a group that is cut off from control as a whole receives none
+// of the orders and continues to serve, so that its members must not be assigned to other groups
+// after the time in which a head without a member breaks. A member must have left, joined another
+// group or be dead.
 bool EngineGroups::LacksMember(const Pass& pass, const Group& group) const
 {
   const auto isLost = [&](const InstanceId& member) {
@@ -83,55 +84,55 @@
     if (row == nullptr) {
       return false;
     }
-    const bool isDead = m_verifier.IsReplaced(*row) || IsReborn(pass, group, member);
-    const bool isElsewhere = !Reports(row, group.name, group.epoch) && IsKnown(pass, *row);
-    return isDead || isElsewhere;
+    const bool isDead = m_verifier.IsReplaced(*row) || HasRestarted(pass, group, member);
+    const bool hasMoved = !Reports(row, group.name, group.epoch) && IsConfirmed(pass, *row);
+    return isDead || hasMoved;
   };
   return std::any_of(group.members.begin() + 1, group.members.end(), isLost) ||
          std::ranges::any_of(group.successors, isLost);
 }
 
-bool EngineGroups::IsOutOfReach(const Pass& pass, const Group& group) const
+bool EngineGroups::IsUnreachable(const Pass& pass, const Group& group) const
 {
   return group.leftAt && !group.incompleteAt &&
          pass.input.now - *group.leftAt > m_settings.standstill + kStandstillSlack;
 }
 
-// An order to open that got no answer, or one of an earlier leader, may be carried out after the
-// order to close; and a head takes some time to open. Closed once was taken for closed for good:
-// the head was joined to another group while callers could reach it in this one.
+// An order to open that got no answer, or one of an earlier leader, may be executed after the order
+// to close, and a head takes some time to open. A head that was closed once can therefore open
+// again; joined to another group it would still be reachable for callers in this one.
 bool EngineGroups::MayOpenLate(TimePoint now, const Group& group)
 {
   const bool isOpening = group.openedAt && now - *group.openedAt < kOpenSlack;
   return group.wasAdopted || group.opensUnanswered > 0 || isOpening;
 }
 
-// A word that names another group or none may be older than this group; then the head is open
-// still, and its answer is waited for.
-void EngineGroups::AskHead(Pass& pass, Group& group)
+// A report that names another group or none may be older than this group, in which case the head is
+// still open. Only the answer to a probe decides.
+void EngineGroups::ProbeHead(Pass& pass, Group& group)
 {
   const TargetRow* head = pass.Row(group.members.front());
   const bool isInDoubt = head != nullptr && !Reports(head, group.name, group.epoch);
   if (!isInDoubt || pass.input.now - group.since < m_reportLag ||
-      pass.input.now - group.askedHeadAt < TargetVerifier::kAskAgain) {
+      pass.input.now - group.headProbedAt < TargetVerifier::kAskAgain) {
     return;
   }
-  group.askedHeadAt = pass.input.now;
-  Ask(pass, head->latest.instance, GroupOrderKind::kProbe);
+  group.headProbedAt = pass.input.now;
+  SendQuery(pass, head->latest.instance, GroupOrderKind::kProbe);
 }
 
-const char* EngineGroups::ReleasedBy(const Pass& pass, const Group& group) const
+const char* EngineGroups::ReleaseEvidence(const Pass& pass, const Group& group) const
 {
   if (group.headIsDead) {
     return "its head is dead";
   }
   if (group.headIsClosed) {
-    return "its head said that it takes no work";
+    return "its head reported that it takes no work";
   }
   const bool stoodStill = group.incompleteAt && pass.input.now - *group.incompleteAt >
                                                   m_settings.standstill + kStandstillSlack;
   if (stoodStill) {
-    return "its head stood still without a member";
+    return "its head was stalled without a member";
   }
   const TargetRow* head = pass.Row(group.members.front());
   if (head == nullptr) {
@@ -141,10 +142,10 @@
   if (!Reports(head, group.name, group.epoch)) {
     const GroupMembership former{ group.name, group.epoch, 0, MemberState::None };
     const bool hasLeft = m_verifier.DeniesGroup(*head, former, group.since + m_reportLag);
-    return hasLeft ? "its head said that it has left" : nullptr;
+    return hasLeft ? "its head reported that it has left" : nullptr;
   }
-  // What the head said before it was told to close may be overtaken by a late order to open. Once
-  // it took the order to close, ready means closed.
+  // A late order to open may supersede what the head reported before it was ordered to close. Once
+  // it accepted the order to close, the state Ready means closed.
   const bool isClosed = group.closeBegun && !MayOpenLate(pass.input.now, group) &&
                         membership.state == MemberState::Ready;
   if (head->heardAt <= group.since || head->latest.left) {
@@ -189,10 +190,10 @@
     MakeEvent(EventNumber::kTargetGroupEnded, { { "group", group.name }, { "reason", reason } }));
 }
 
-void EngineGroups::NoteHeadsAnswer(TimePoint now,
-                                   Group& group,
-                                   GroupOrderKind kind,
-                                   OrderOutcome outcome)
+void EngineGroups::RecordHeadAnswer(TimePoint now,
+                                    Group& group,
+                                    GroupOrderKind kind,
+                                    OrderOutcome outcome)
 {
   group.headIsDead = group.headIsDead || outcome == OrderOutcome::kReplaced;
   const bool isDone = outcome == OrderOutcome::kDone;
@@ -205,9 +206,9 @@
     return;
   }
   group.closeBegun = group.closeBegun || isBegun;
-  // A close that is told again may find the head closing: only what it says later is certain then.
-  group.saidClosed = group.saidClosed || (isDone && !group.closeBegun);
-  group.headIsClosed = group.headIsClosed || (group.saidClosed && !MayOpenLate(now, group));
+  // A repeated order to close may find the head closing; then only a later report is conclusive.
+  group.reportedClosed = group.reportedClosed || (isDone && !group.closeBegun);
+  group.headIsClosed = group.headIsClosed || (group.reportedClosed && !MayOpenLate(now, group));
 }
 
 } // namespace gooseberrysail
--- a/src/control/engine_groups_learning.cpp
+++ b/src/control/engine_groups_learning.cpp
@@ -13,9 +13,9 @@
 
 } // namespace
 
-// A target that reports a group that this leader does not keep was ordered by an earlier leader.
-// Until the head of that group certainly takes no work, none of its members is free, also those
-// whose head this process has not heard of: given to another group they would work for two.
+// A reported group that this leader does not track was formed by an earlier leader. Until its head
+// certainly takes no work none of its members is free, even if the head has not reported to this
+// process: assigned to another group they would work for two.
 void EngineGroups::Adopt(Pass& pass)
 {
   for (const auto& [instance, row] : pass.input.targets.Rows()) {
@@ -30,11 +30,11 @@
     if (fresh) {
       group = MakeAdopted(pass, row);
     }
-    // One that went on under the next epoch keeps only its head.
+    // A group that continued under the next epoch has only its head.
     if (group.wasAdopted && group.successors.empty()) {
       group.members.resize(std::max<std::size_t>(group.members.size(), membership.rank + 1));
       group.members[membership.rank] = instance;
-      group.lives[instance] = row.latest.born;
+      group.incarnations[instance] = row.latest.born;
       group.model = group.model.empty() ? row.latest.loadedModel : group.model;
     }
   }
@@ -46,8 +46,8 @@
   });
 }
 
-// A group that nobody reached may serve on, and is taken up again with the first word of it; and a
-// head that says, after it was closed, that it is open is closed once more.
+// An unreachable group may still serve; it is adopted again with the first report of it. A head
+// that reports itself open after it was released is adopted too, so that it is closed again.
 bool EngineGroups::IsOver(const TargetRow& row) const
 {
   const GroupMembership& membership = row.latest.membership;
@@ -56,8 +56,8 @@
     return false;
   }
   const bool isOpenHead = membership.rank == 0 && IsOpenState(membership.state);
-  const bool isNews = row.heardAt > released->second.at && !m_verifier.IsReplaced(row);
-  return !isNews || (released->second.isCertain && !isOpenHead);
+  const bool isNewer = row.heardAt > released->second.at && !m_verifier.IsReplaced(row);
+  return !isNewer || (released->second.isCertain && !isOpenHead);
 }
 
 EngineGroups::Group EngineGroups::MakeAdopted(const Pass& pass, const TargetRow& row)
@@ -76,15 +76,15 @@
 void EngineGroups::AdvanceAdopted(Pass& pass, Group& group)
 {
   if (HasSuccessor(group)) {
-    // Its members work for the next epoch; this head's callers would wait in vain.
-    End(pass, group, "it went on with another head");
+    // Its members are in the next epoch; callers of this head would wait in vain.
+    End(pass, group, "it continued with another head");
     return;
   }
   const TargetRow* head = pass.Row(group.members.front());
   const bool isHeard = Reports(head, group.name, group.epoch);
-  if ((!isHeard || !IsKnown(pass, *head)) &&
-      pass.input.now - *m_leadsSince < m_settings.LearnTime()) {
-    return; // The former leader may have ordered what the head did not tell yet.
+  if ((!isHeard || !IsConfirmed(pass, *head)) &&
+      pass.input.now - *m_leaderSince < m_settings.LearnTime()) {
+    return; // An earlier leader may have sent orders whose effect the head has not reported yet.
   }
   const bool isOpen = isHeard && head->latest.membership.state == MemberState::Open;
   const bool isForming = isHeard && (head->latest.membership.state == MemberState::Joining ||
@@ -99,19 +99,19 @@
     group.phase = Phase::kOpen;
     return;
   }
-  if (isForming && IsWhole(pass, group)) {
+  if (isForming && IsComplete(pass, group)) {
     group.phase = Phase::kJoining;
     return;
   }
-  End(pass, group, "an earlier leader left it unfinished");
+  End(pass, group, "incomplete group of an earlier leader");
 }
 
-// The next life of a target has neither the weights that the former was told to load nor its pace,
-// and an answer that the former owed will never come.
-void EngineGroups::ForgetFormerLives(const Pass& pass)
+// A restarted target has neither the weights that its former incarnation was ordered to load nor
+// its pace, and answers that the former incarnation owed never arrive.
+void EngineGroups::ForgetFormerIncarnations(const Pass& pass)
 {
   for (const auto& [instance, row] : pass.input.targets.Rows()) {
-    const auto [known, fresh] = m_lives.try_emplace(instance, row.latest.born);
+    const auto [known, fresh] = m_incarnations.try_emplace(instance, row.latest.born);
     if (known->second == row.latest.born) {
       continue;
     }
@@ -123,50 +123,51 @@
   }
 }
 
-// Two identities at one address: which of them is there decides whose groups are lost and who may
-// join. And an earlier leader may have ordered what this one's latest word of a target does not
-// tell yet: a target that was taken for free by such a word led an open group. An answer takes some
-// milliseconds, and each target is asked once under a leader.
-void EngineGroups::AskUnverified(Pass& pass)
+// Queries targets in two cases. With two identities at one address, the current one decides whose
+// groups are lost and which target may join. And an earlier leader may have sent orders that the
+// latest report of a target does not reflect yet: considered free by such a report, the head of an
+// open group would be joined to another. An answer takes some milliseconds, and a target that was
+// confirmed under this leader is not queried again.
+void EngineGroups::QueryUnverifiedTargets(Pass& pass)
 {
   for (const auto& [former, present] : m_verifier.Update(pass.input.targets)) {
     pass.events.push_back(
       MakeEvent(EventNumber::kTargetReplaced,
                 { { "target", former.instance.Get() }, { "by", present.Get() } }));
   }
-  // A plain service takes the question for a request of a caller, and may run it.
+  // A plain service would treat the query as a caller's request and might run it.
   const auto isEngine = [&](const TargetRow& row) {
     return pass.EngineOf(row.latest.service) != nullptr;
   };
-  const auto isDoubtful = [&](const TargetRow& row) {
-    return IsOfThisTerm(pass.input.now) && isEngine(row) && !IsKnown(pass, row);
+  const auto isUnconfirmed = [&](const TargetRow& row) {
+    return IsOfThisTerm(pass.input.now) && isEngine(row) && !IsConfirmed(pass, row);
   };
   for (const InstanceId& target :
        m_verifier.TakeContested(pass.input.now, pass.input.targets, isEngine)) {
-    Ask(pass, target, GroupOrderKind::kIdentify);
+    SendQuery(pass, target, GroupOrderKind::kIdentify);
   }
   for (const InstanceId& target :
-       m_verifier.TakeDoubtful(pass.input.now, pass.input.targets, isDoubtful)) {
-    Ask(pass, target, GroupOrderKind::kProbe);
+       m_verifier.TakeUnconfirmed(pass.input.now, pass.input.targets, isUnconfirmed)) {
+    SendQuery(pass, target, GroupOrderKind::kProbe);
   }
 }
 
-// The answer to a question of a former term, or one so soon in this one that it may tell of before,
-// agrees with an old word and with nothing that an earlier leader ordered since.
+// An answer to a query of an earlier term, or to one so early in this term that it may describe an
+// older state, can match an outdated report although an earlier leader has sent orders since.
 bool EngineGroups::IsOfThisTerm(TimePoint askedAt) const
 {
-  return m_leadsSince && askedAt >= *m_leadsSince + m_reportLag;
+  return m_leaderSince && askedAt >= *m_leaderSince + m_reportLag;
 }
 
-// What a target says of a group of this leader can't be older than this leader's orders.
-bool EngineGroups::IsKnown(const Pass& pass, const TargetRow& row) const
+// A report of a group formed by this leader can't be older than the leader's own orders.
+bool EngineGroups::IsConfirmed(const Pass& pass, const TargetRow& row) const
 {
   return row.latest.membership.epoch > FormerEpoch(pass) || m_verifier.Confirms(row);
 }
 
-// Orders name the target that they are for, and another one at its address says so. Reports don't
-// tell whose they are.
-void EngineGroups::NoteIdentity(const GroupOrder& order, OrderOutcome outcome)
+// Orders carry the identity of their target, and another target at the address rejects them. The
+// answer to a probe does not contain the identity of the sender.
+void EngineGroups::RecordIdentity(const GroupOrder& order, OrderOutcome outcome)
 {
   const TargetLife life{ order.target, order.born };
   if (outcome == OrderOutcome::kReplaced) {
--- a/src/control/engine_groups_pass.hpp
+++ b/src/control/engine_groups_pass.hpp
@@ -8,21 +8,21 @@
 
 namespace gooseberrysail {
 
-/// \brief One tick of EngineGroups: what it sees and what it says.
+/// \brief The input and outputs of one tick of EngineGroups.
 struct EngineGroups::Pass
 {
   const GroupsInput& input;
   std::vector<GroupOrder>& orders;
   std::vector<EventOut>& events;
-  std::vector<GroupKey> dropped;    ///< Groups whose members are free.
-  std::vector<GroupKey> outOfReach; ///< Groups that are forgotten until they are heard again.
+  std::vector<GroupKey> dropped;     ///< Groups whose members are free.
+  std::vector<GroupKey> unreachable; ///< Groups to drop until a member reports them again.
 
   [[nodiscard]] const TargetRow* Row(const InstanceId& instance) const
   {
     return input.targets.Find(instance);
   }
 
-  /// \brief Null when the document has no such service with engines.
+  /// \brief Null when the document has no such service or the service has no engine.
   [[nodiscard]] const EngineSpec* EngineOf(const std::string& service) const
   {
     return FindEngine(input.document, service);
@@ -31,7 +31,7 @@
 
 namespace impl {
 
-/// Groups of one target that holds weights ready; they never open.
+/// Name prefix of the groups of one standby target that holds weights; they are never opened.
 inline const std::string kStandbyPrefix = "standby-";
 
 [[nodiscard]] inline bool Reports(const TargetRow* row, const std::string& group, Epoch epoch)
@@ -50,7 +50,7 @@
   return row == nullptr || row->latest.left || row->latest.draining;
 }
 
-/// An order for the present life of a target.
+/// An order for the current incarnation of a target.
 [[nodiscard]] inline GroupOrder MakeOrder(const TargetRow& row, GroupOrderKind kind)
 {
   GroupOrder order;
--- a/src/control/engine_groups_planning.cpp
+++ b/src/control/engine_groups_planning.cpp
@@ -14,34 +14,36 @@
 using impl::IsLeaving;
 using impl::Reports;
 
-/// Loads are counted over this window, which is the one in which the store's rate is enforced.
+/// Window over which loads are counted; the store enforces its rate over the same window.
 constexpr Duration kLoadWindow = 5s;
-/// Kept free of the allowed loads: a leader that follows within a window starts its count anew.
-constexpr double kLoadReserve = 0.5;
-/// Before the first request the store is not limited; this bounds a fault.
+/// Fraction of the allowed loads that is used; the rest is a reserve, because a new leader within
+/// the same window starts counting from zero.
+constexpr double kUsableLoadFraction = 0.5;
+/// Before the first request the store's rate is not limited; this bounds the effect of a fault.
 constexpr std::uint32_t kUnlimitedLoads = 100'000;
-/// A load takes 12 to 16 s, longer when many load at once; after this it is ordered again.
-constexpr Duration kStagePatience = 40s;
-/// A host that refused a load is asked again after this part of a load's time.
+/// A load takes 12 to 16 s, more with many concurrent loads; after this it is ordered again.
+constexpr Duration kStageTimeout = 40s;
+/// A host that refused a load is retried after the load's time divided by this.
 constexpr int kBusyHostDivisor = 4;
-/// Part of the targets kept out of groups at the start, as spares that hold weights.
+/// Fraction of the targets that form no groups at the start but are spares that hold weights.
 constexpr double kSparePart = 0.2;
-/// A standby takes its weights from its host within two seconds; after this it is told again.
+/// A standby takes its weights from its host within two seconds; after this the order is repeated.
 constexpr Duration kStandbyRetry = 5s;
-/// After a lost group no serving one is given up for this long. The losses of a domain that goes
-/// dark are noticed within 0.3 s of one another; a takeover in between took two groups from the
-/// model that lacked most a moment later, and neither could be formed again for the 16 s of a load.
-constexpr Duration kLossesSettle = 1s;
-/// Demand is a mean over 3 s; what a leader has measured for less swings by half. On two played
-/// days a model gave up a group for another's scatter within the first two seconds of traffic.
-constexpr Duration kDemandSettles = 3s;
-/// How often a model's lack of groups is reported while it lasts.
-constexpr Duration kShortInterval = 1s;
-/// Epochs of one term.
+/// After the loss of a group no serving group is ended for another model for this long. The losses
+/// of a failed domain are detected within 0.3 s of one another. A takeover in between can take
+/// groups from the model that has the largest shortage a moment later, and they can't be formed
+/// again for the 16 s of a load.
+constexpr Duration kLossSettleTime = 1s;
+/// Demand is a mean over 3 s. Measured for a shorter time it varies by half, so that in the first
+/// two seconds of traffic a model could lose a group to random variation of another model's demand.
+constexpr Duration kDemandSettleTime = 3s;
+/// Interval at which a model's shortage of groups is reported.
+constexpr Duration kShortageReportInterval = 1s;
+/// The number of epochs reserved for each term.
 constexpr std::uint64_t kEpochsPerTerm = 1ULL << 20U;
 
-/// "a:5/2/1 b:3/0/0": the idle targets of each domain, those that hold the weights, those that
-/// load.
+/// For example "a:5/2/1 b:3/0/0": for each domain its idle targets, those of them that hold the
+/// weights, and those that load them.
 std::string DescribeFree(std::span<const FreeTarget> free, const std::string& model)
 {
   struct Counts
@@ -72,8 +74,8 @@
   if (!pass.input.demand.empty() && !m_demandSince) {
     m_demandSince = pass.input.now;
   }
-  return m_demandSince && pass.input.now - *m_demandSince > kDemandSettles &&
-         pass.input.now - m_lostGroupAt > kLossesSettle;
+  return m_demandSince && pass.input.now - *m_demandSince > kDemandSettleTime &&
+         pass.input.now - m_lostGroupAt > kLossSettleTime;
 }
 
 std::uint32_t EngineGroups::LoadsLeft(const Pass& pass, const EngineSpec& engine)
@@ -84,7 +86,7 @@
   std::erase_if(m_loads, [&](TimePoint at) { return pass.input.now - at > kLoadWindow; });
   const double window = std::chrono::duration<double>(kLoadWindow).count();
   const auto allowed =
-    static_cast<std::size_t>(std::floor(engine.loadsPerSecond * window * kLoadReserve));
+    static_cast<std::size_t>(std::floor(engine.loadsPerSecond * window * kUsableLoadFraction));
   return static_cast<std::uint32_t>(allowed - std::min(allowed, m_loads.size()));
 }
 
@@ -97,7 +99,8 @@
   return most - std::min(most, underWay);
 }
 
-// Groups formed before all targets have spoken would leave no room for the large ones.
+// Small groups formed before all targets have reported could leave too few targets for large
+// groups.
 bool EngineGroups::IsSettled(const Pass& pass)
 {
   const std::size_t known = pass.input.targets.Rows().size();
@@ -105,12 +108,12 @@
     m_newTargetAt = pass.input.now;
   }
   m_knownTargets = known;
-  const bool learnt = pass.input.now - *m_leadsSince >= m_settings.LearnTime();
+  const bool learnt = pass.input.now - *m_leaderSince >= m_settings.LearnTime();
   const bool isQuiet = pass.input.now - m_newTargetAt >= m_settings.QuietTime();
-  return pass.input.hasTraffic ? pass.input.isWhole : learnt && isQuiet;
+  return pass.input.hasTraffic ? pass.input.hasHeardAll : learnt && isQuiet;
 }
 
-void EngineGroups::Form(Pass& pass, const ServiceDefinition& service)
+void EngineGroups::FormGroups(Pass& pass, const ServiceDefinition& service)
 {
   ForgetEndedLoads(pass);
   ReplaceHeads(pass, service);
@@ -142,23 +145,23 @@
   for (const PlannedTakeover& planned : plan.takeovers) {
     StartTakeover(pass, service.name, planned);
   }
-  ReportShort(pass, service.name, pool, plan);
+  ReportShortages(pass, service.name, pool, plan);
 }
 
-// Idle targets beside a model that lacks groups look like a fault of the planner; this line says
-// what they lack.
-void EngineGroups::ReportShort(Pass& pass,
-                               const std::string& service,
-                               const PoolInput& pool,
-                               const PoolPlan& plan)
+// Idle targets while a model lacks groups look like a fault of the planner. The event reports what
+// prevents their use.
+void EngineGroups::ReportShortages(Pass& pass,
+                                   const std::string& service,
+                                   const PoolInput& pool,
+                                   const PoolPlan& plan)
 {
   for (const ModelNeed& need : pool.needs) {
     const std::string& model = need.model->name;
-    TimePoint& told = m_toldShort[model];
-    if (need.groups >= need.wanted || pass.input.now - told < kShortInterval) {
+    TimePoint& reportedAt = m_shortageReportedAt[model];
+    if (need.groups >= need.wanted || pass.input.now - reportedAt < kShortageReportInterval) {
       continue;
     }
-    told = pass.input.now;
+    reportedAt = pass.input.now;
     const auto found = std::ranges::find(plan.lacks, model, &PlannedLack::model);
     const PlannedLack lack = found != plan.lacks.end() ? *found : PlannedLack();
     pass.events.push_back(MakeEvent(EventNumber::kTargetGroupsShort,
@@ -178,9 +181,9 @@
   }
 }
 
-// A head that nobody reaches may live. Under a new epoch of its group its members can't work for it
-// any more, whatever it does, and a target takes no order of a lower epoch; so the group goes on at
-// once with another head, where waiting for the former one to stand still takes five seconds.
+// An unreachable head may be alive. Once its members are in a new epoch of the group they can't
+// work for it any more, and targets reject orders of a lower epoch. So the group can continue at
+// once with another head instead of waiting five seconds until the former head must have stalled.
 void EngineGroups::ReplaceHeads(Pass& pass, const ServiceDefinition& service)
 {
   for (auto& [key, group] : m_groups) {
@@ -190,7 +193,7 @@
       continue;
     }
     if (std::optional<Group> made = MakeSuccessor(pass, service, group)) {
-      // The former head is held until it certainly takes no work; the others aren't its any more.
+      // The former head stays reserved until it certainly takes no work; the others are reassigned.
       group.successors.assign(group.members.begin() + 1, group.members.end());
       group.members.resize(1);
       ReportFormed(pass, *made, 0);
@@ -200,7 +203,7 @@
   }
 }
 
-// Without a need for it the group would take warm targets from a model that lacks them.
+// A successor that is not needed would take warm targets from a model that lacks them.
 bool EngineGroups::LacksGroups(const Pass& pass,
                                const ServiceDefinition& service,
                                const std::string& model) const
@@ -220,7 +223,7 @@
     return std::nullopt;
   }
   std::vector<InstanceId> members = ListSurvivors(pass, group);
-  AddWarm(pass, service.name, *model, members);
+  AddWarmTargets(pass, service.name, *model, members);
   if (members.size() != model->size) {
     return std::nullopt;
   }
@@ -235,7 +238,7 @@
   return next != m_groups.end() && next->first.name == group.name;
 }
 
-bool EngineGroups::IsWantedBySuccessor(const Group& group, const InstanceId& target) const
+bool EngineGroups::IsMemberOfSuccessor(const Group& group, const InstanceId& target) const
 {
   for (auto next = m_groups.upper_bound(group.Key());
        next != m_groups.end() && next->first.name == group.name;
@@ -257,10 +260,10 @@
 }
 
 /// Fills `members` up to the model's size with free targets of their domain that hold its weights.
-void EngineGroups::AddWarm(const Pass& pass,
-                           const std::string& service,
-                           const GroupModel& model,
-                           std::vector<InstanceId>& members)
+void EngineGroups::AddWarmTargets(const Pass& pass,
+                                  const std::string& service,
+                                  const GroupModel& model,
+                                  std::vector<InstanceId>& members)
 {
   if (members.empty()) {
     return;
@@ -279,8 +282,8 @@
   std::vector<InstanceId> survivors;
   for (std::size_t rank = 1; rank < group.members.size(); ++rank) {
     const TargetRow* row = pass.Row(group.members[rank]);
-    const bool isLost = HasFailed(pass, row) || IsReborn(pass, group, group.members[rank]);
-    if (isLost || !IsKnown(pass, *row)) {
+    const bool isLost = HasFailed(pass, row) || HasRestarted(pass, group, group.members[rank]);
+    if (isLost || !IsConfirmed(pass, *row)) {
       continue;
     }
     const GroupMembership& membership = row->latest.membership;
@@ -295,14 +298,14 @@
 {
   std::vector<ServingGroup> serving;
   for (const auto& [key, group] : m_groups) {
-    if (group.service != service || group.phase != Phase::kOpen || !IsSound(pass, group)) {
+    if (group.service != service || group.phase != Phase::kOpen || !IsHealthy(pass, group)) {
       continue;
     }
     ServingGroup each{ group.name, group.model, {}, {} };
     for (const InstanceId& member : group.members) {
       if (const TargetRow* row = pass.Row(member)) {
         each.fabricDomain = row->latest.fabricDomain;
-        each.members.push_back(MakeFree(*row));
+        each.members.push_back(MakeFreeTarget(*row));
       }
     }
     serving.push_back(std::move(each));
@@ -313,10 +316,10 @@
 std::vector<ModelNeed> EngineGroups::ListNeeds(const Pass& pass,
                                                const ServiceDefinition& service) const
 {
-  // A target that is gone stays in the table for a while, beside the one that took its place.
+  // A target that has ended stays in the table for a while, in addition to its replacement.
   const auto targets = std::ranges::count_if(pass.input.targets.Rows(), [&](const auto& row) {
     const TargetRow& target = row.second;
-    const bool isHeard = pass.input.now - target.heardAt <= m_settings.Silence();
+    const bool isHeard = pass.input.now - target.heardAt <= m_settings.SilenceTimeout();
     return target.latest.service == service.name && isHeard && !IsLeaving(&target) &&
            !m_verifier.IsReplaced(target);
   });
@@ -339,12 +342,12 @@
   return needs;
 }
 
-// A new leader finds groups whose heads died with the former one; waited for, none takes their
-// place.
+// A new leader may find groups whose heads died together with the former leader. Counted, such
+// groups would not be replaced.
 bool EngineGroups::IsCounted(const Pass& pass, const Group& group) const
 {
   if (group.phase == Phase::kOpen && PaceOf(group) >= SlowTargets::kSlow) {
-    return false; // What it still does is little; another group may take its callers.
+    return false; // It contributes little; another group may take over its callers.
   }
   if (group.phase != Phase::kAdopted) {
     return group.phase != Phase::kEnding;
@@ -353,10 +356,10 @@
   return head != nullptr && !IsSilent(pass, *head);
 }
 
-// A former head that turns out to live reports a lower epoch of a group that went on without it.
-// That epoch is a group of its own here: known only through its successor, the former head was
-// forgotten with it, and joined to a second group while its own was open.
-bool EngineGroups::IsHeld(const GroupMembership& membership) const
+// A former head that is alive reports a lower epoch of a group that continued without it. That
+// epoch is tracked as a separate group. If only the successor were tracked, the former head would
+// be dropped with it and could be joined to a second group while its own is open.
+bool EngineGroups::IsTracked(const GroupMembership& membership) const
 {
   return m_groups.contains({ membership.group, membership.epoch });
 }
@@ -369,14 +372,14 @@
   }
   std::vector<FreeTarget> free;
   for (const auto& [instance, row] : pass.input.targets.Rows()) {
-    const bool usable = row.latest.service == service && IsKnown(pass, row) &&
+    const bool usable = row.latest.service == service && IsConfirmed(pass, row) &&
                         !taken.contains(instance) && !m_slow.IsSlow(instance) &&
-                        !IsHeld(row.latest.membership) && !HasFailed(pass, &row) &&
+                        !IsTracked(row.latest.membership) && !HasFailed(pass, &row) &&
                         !m_verifier.IsContested(instance);
     if (!usable) {
       continue;
     }
-    free.push_back(MakeFree(row));
+    free.push_back(MakeFreeTarget(row));
   }
   return free;
 }
@@ -397,16 +400,16 @@
     }
     for (const InstanceId& member : group.members) {
       const TargetRow* row = pass.Row(member);
-      const bool isSound = !HasFailed(pass, row) && !IsReborn(pass, group, member);
-      if (isSound && !m_slow.IsSlow(member) && seen.insert(member).second) {
-        returning.push_back(MakeFree(*row));
+      const bool isHealthy = !HasFailed(pass, row) && !HasRestarted(pass, group, member);
+      if (isHealthy && !m_slow.IsSlow(member) && seen.insert(member).second) {
+        returning.push_back(MakeFreeTarget(*row));
       }
     }
   }
   return returning;
 }
 
-FreeTarget EngineGroups::MakeFree(const TargetRow& row) const
+FreeTarget EngineGroups::MakeFreeTarget(const TargetRow& row) const
 {
   return { row.latest.instance,
            row.latest.fabricDomain,
@@ -415,7 +418,7 @@
            row.lastModel };
 }
 
-/// The model that a target's host was told to load and does not hold yet; "" for none.
+/// The model that a target's host was ordered to load and does not hold yet; empty for none.
 std::string EngineGroups::StagingOf(const InstanceId& target) const
 {
   const auto staging = m_staging.find(target);
@@ -428,25 +431,25 @@
     const Staging& staging = entry.second;
     const TargetRow* row = pass.Row(entry.first);
     if (row == nullptr || row->latest.left ||
-        pass.input.now - row->heardAt > m_settings.Silence()) {
+        pass.input.now - row->heardAt > m_settings.SilenceTimeout()) {
       return true;
     }
     const bool isDone =
       std::ranges::find(row->latest.stagedModels, staging.model) != row->latest.stagedModels.end();
-    const Duration patience =
-      staging.model == kUnknownWeights ? staging.loadTime / kBusyHostDivisor : kStagePatience;
-    return isDone || pass.input.now - staging.since > patience;
+    const Duration timeout =
+      staging.model == kUnknownWeights ? staging.loadTime / kBusyHostDivisor : kStageTimeout;
+    return isDone || pass.input.now - staging.since > timeout;
   });
 }
 
-// A host that loads what an earlier leader ordered refuses, and is free sooner than a load that
-// begins now would end.
-void EngineGroups::NoteLoad(TimePoint now, const GroupOrder& order, OrderOutcome outcome)
+// A host that runs a load of an earlier leader refuses the order, and becomes free earlier than a
+// load that starts now would end.
+void EngineGroups::RecordLoadOutcome(TimePoint now, const GroupOrder& order, OrderOutcome outcome)
 {
   const auto staging = m_staging.find(order.target);
   const bool isAnswer = staging != m_staging.end() && staging->second.since == order.givenAt;
   if (!isAnswer) {
-    return; // Of an earlier order to the same host.
+    return; // The answer to an earlier order to the same host.
   }
   if (outcome == OrderOutcome::kRefused) {
     staging->second.model = kUnknownWeights;
@@ -461,14 +464,14 @@
   AdvanceJoining(pass, AddGroup(pass, service, planned, Phase::kJoining));
 }
 
-// Its free members are taken from now on: while the others finish what they have, a group of
-// another model would have them.
+// The free members are reserved immediately. Otherwise a group of another model could take them
+// while the other members finish their work.
 void EngineGroups::StartTakeover(Pass& pass,
                                  const std::string& service,
                                  const PlannedTakeover& planned)
 {
   for (const std::string& name : planned.releases) {
-    End(pass, FindServing(name), "another model lacks more");
+    End(pass, FindServing(name), "another model has a larger shortage");
   }
   AddGroup(pass, service, planned.group, Phase::kGathering);
 }
@@ -498,7 +501,7 @@
   group.members = planned.members;
   for (const InstanceId& member : group.members) {
     const TargetRow* row = pass.Row(member);
-    group.lives[member] = row == nullptr ? Incarnation() : row->latest.born;
+    group.incarnations[member] = row == nullptr ? Incarnation() : row->latest.born;
   }
   group.since = pass.input.now;
   return group;
@@ -515,7 +518,7 @@
                                     { "loads", std::to_string(loads) } }));
 }
 
-// Nobody opens this group, so no request reaches the target through it.
+// The group of a standby is never opened, so that no request reaches the target through it.
 void EngineGroups::StartStandby(Pass& pass, const PlannedStandby& planned)
 {
   TimePoint& since = m_standbySince[planned.target];
--- a/src/control/engine_groups_stragglers.cpp
+++ b/src/control/engine_groups_stragglers.cpp
@@ -11,37 +11,37 @@
 
 using namespace std::chrono_literals;
 
-/// A head whose steps take this many times as long as those of a full head that only writes has its
-/// members asked. One that reads long prompts takes 2 to 3 times as long now and then.
-constexpr double kSuspectSteps = 2.5;
-/// A group whose members all turned out sound is not asked again for this long: its steps are long
-/// because of its callers' prompts.
-constexpr Duration kSoundPause = 3s;
+/// The members of a group are probed when its head's steps take this many times as long as those of
+/// a full head that only decodes. With long prompts they occasionally take 2 to 3 times as long.
+constexpr double kSuspectStepFactor = 2.5;
+/// Minimum interval between two probes of a group's members. Steps of a group whose members are all
+/// healthy are long because of its callers' prompts.
+constexpr Duration kHealthyProbePause = 3s;
 
 } // namespace
 
-// A group runs at the pace of its slowest member, and nothing but the member itself tells which one
-// that is. Callers of such a group get all their answers late, so the entries report the time of a
-// head's steps, and the members of one that takes long are asked.
-void EngineGroups::AskStragglers(Pass& pass, Group& group)
+// A group runs at the pace of its slowest member, and only the member itself can report that it is
+// slow. Callers of such a group get all their answers late. Therefore entries report the step time
+// of each head, and the members of a group with long steps are probed.
+void EngineGroups::ProbeStragglers(Pass& pass, Group& group)
 {
   const auto step = pass.input.steps.find(group.members.front());
   const GroupModel* model = ModelOf(pass, group);
   if (step == pass.input.steps.end() || model == nullptr ||
-      pass.input.now - group.askedPaceAt < kSoundPause) {
+      pass.input.now - group.paceProbedAt < kHealthyProbePause) {
     return;
   }
   const Duration full = FullStep(*pass.EngineOf(group.service), *model);
-  if (full == Duration::zero() || step->second < full * kSuspectSteps) {
+  if (full == Duration::zero() || step->second < full * kSuspectStepFactor) {
     return;
   }
-  group.askedPaceAt = pass.input.now;
+  group.paceProbedAt = pass.input.now;
   for (const InstanceId& member : group.members) {
-    Ask(pass, member, GroupOrderKind::kProbe);
+    SendQuery(pass, member, GroupOrderKind::kProbe);
   }
 }
 
-void EngineGroups::Ask(Pass& pass, const InstanceId& target, GroupOrderKind kind)
+void EngineGroups::SendQuery(Pass& pass, const InstanceId& target, GroupOrderKind kind)
 {
   const TargetRow* row = pass.Row(target);
   if (row == nullptr || row->latest.address.empty()) {
@@ -50,13 +50,13 @@
   pass.orders.push_back(impl::MakeOrder(*row, kind));
 }
 
-// Slow targets are in no group, or in one that nobody can replace; either way nobody else notices
-// when they are sound again.
-void EngineGroups::AskSlowAgain(Pass& pass)
+// Slow targets are in no group, or in one that can't be replaced; in both cases only a probe shows
+// when they are healthy again.
+void EngineGroups::ProbeSlowTargets(Pass& pass)
 {
   m_slow.Forget(pass.input.targets);
   for (const InstanceId& target : m_slow.TakeDue(pass.input.now)) {
-    Ask(pass, target, GroupOrderKind::kProbe);
+    SendQuery(pass, target, GroupOrderKind::kProbe);
   }
 }
 
@@ -72,21 +72,21 @@
 
 void EngineGroups::OnPace(TimePoint now, const InstanceId& target, double pace)
 {
-  if (m_slow.Note(now, target, pace)) {
-    m_paceNews.emplace_back(target, pace);
+  if (m_slow.Record(now, target, pace)) {
+    m_paceChanges.emplace_back(target, pace);
   }
 }
 
-void EngineGroups::ReportPaces(Pass& pass)
+void EngineGroups::ReportPaceChanges(Pass& pass)
 {
-  for (const auto& [target, pace] : m_paceNews) {
+  for (const auto& [target, pace] : m_paceChanges) {
     const bool isSlow = m_slow.IsSlow(target);
     pass.events.push_back(MakeEvent(EventNumber::kTargetPaceChanged,
                                     { { "target", target.Get() },
                                       { "state", isSlow ? "slow" : "sound" },
                                       { "pace", ToDecimal(pace) } }));
   }
-  m_paceNews.clear();
+  m_paceChanges.clear();
 }
 
 double EngineGroups::PaceOf(const Group& group) const
@@ -98,9 +98,9 @@
   return slowest;
 }
 
-// A group at a quarter of its speed or less serves nobody in time and is given up at once; its
-// sound members are worth more in another group. One that is less slow stays until sound targets of
-// its domain can take the place of its slow ones.
+// A group at a quarter of its speed or less answers no caller in time and is ended at once, so that
+// its healthy members can serve in another group. A less slow group stays until healthy targets of
+// its domain can replace its slow members.
 bool EngineGroups::ShouldLeaveStragglers(const Pass& pass, const Group& group)
 {
   const double pace = PaceOf(group);
@@ -116,7 +116,7 @@
     return !m_slow.IsSlow(member);
   });
   if (model != nullptr) {
-    AddWarm(pass, group.service, *model, members);
+    AddWarmTargets(pass, group.service, *model, members);
   }
   return model != nullptr && members.size() == model->size;
 }
--- a/src/control/group_planning.cpp
+++ b/src/control/group_planning.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-constexpr Duration kSoonestPlan = std::chrono::milliseconds(200);
+/// Interval when the planner's inputs have changed.
+constexpr Duration kMinPlanInterval = std::chrono::milliseconds(200);
 
 /// \brief Whether a VM may join a group now.
 bool IsUsable(const ControlContext& context, const TargetMembership& membership, const VmId& vm)
@@ -26,7 +27,7 @@
 
 } // namespace
 
-/// \brief Rows that the planner's spans point into.
+/// \brief Storage that the spans of the planner's input refer to.
 struct GroupPlanning::Views
 {
   std::vector<VmView> vms;
@@ -39,14 +40,14 @@
   if (!context.HasFreshQuorum()) {
     return;
   }
-  const std::tuple now(
+  const std::tuple revisions(
     context.state.GetGroups().Revision(), membership.Observations(), context.catalogue.Version());
-  const Duration interval = now == m_plannedOn ? kPlanInterval : kSoonestPlan;
+  const Duration interval = revisions == m_plannedRevisions ? kPlanInterval : kMinPlanInterval;
   if (context.now - m_lastPlan < interval) {
     return;
   }
   m_lastPlan = context.now;
-  m_plannedOn = now;
+  m_plannedRevisions = revisions;
   DrainOrphans(context);
   FormServiceGroups(context, membership);
   RunPlanner(context, membership);
@@ -89,7 +90,7 @@
       m_engines.push_back(vm);
     }
   }
-  // Equal states give equal plans whatever the order of the hash table.
+  // Sorted, so that the plan does not depend on the iteration order of the hash table.
   std::sort(m_engines.begin(), m_engines.end());
 }
 
--- a/src/control/group_table.cpp
+++ b/src/control/group_table.cpp
@@ -84,9 +84,9 @@
     if (row == nullptr) {
       return "unknown VM " + name;
     }
-    // The proposer may be a leader that was deposed while its proposal was under way, or one whose
-    // view is older than the log. Without this check here the VM would be in two groups, and both
-    // heads would count it as theirs.
+    // The proposer may be a leader that was deposed while its proposal was in progress, or its
+    // state may be older than the log. Without this check the VM could be in two groups, and both
+    // heads would use it as their member.
     if (!row->group.IsNone()) {
       return "VM " + name + " belongs to group " + std::to_string(row->group.Get());
     }
@@ -195,7 +195,7 @@
   for (const auto& [vm, row] : m_vms) {
     rows.push_back(&row);
   }
-  // Sorted, so that equal states give equal bytes on every voter.
+  // Sorted, so that equal states give identical snapshots on every voter.
   std::sort(rows.begin(), rows.end(), [](const VmRow* left, const VmRow* right) {
     return left->record.vm < right->record.vm;
   });
--- a/src/control/head_shares.cpp
+++ b/src/control/head_shares.cpp
@@ -9,16 +9,17 @@
 
 namespace {
 
-/// At 50 entries an even part of a head is half a place, and no entry can keep to it: each takes
-/// one or two, and a head gets twice its slots while another is idle. With three places at each of
-/// fewer heads, the head's load is the sum of a few entries', of which each spreads its own evenly.
-constexpr double kWholePlaces = 3;
-/// Less than this of a place isn't worth a row; of what is left over at the end, even less is.
-constexpr double kLeastPlace = 0.5;
-constexpr double kLeastPlaceLeft = 0.1;
+/// With 50 entries an even part of a head is half a slot, which no entry can keep to: each uses one
+/// or two slots, and one head gets twice its slots while another is idle. With three slots at each
+/// of fewer heads, a head's load is the sum of that of a few entries, each of which spreads its own
+/// evenly.
+constexpr double kMinSlotsPerHead = 3;
+/// Smaller shares, in slots, are not worth a row; the limit for the leftovers at the end is lower.
+constexpr double kMinSlots = 0.5;
+constexpr double kMinLeftoverSlots = 0.1;
 
-/// The highest random weight first (Thaler and Ravishankar): the order of one entry changes only
-/// where a head comes or goes.
+/// Rendezvous hashing, highest random weight first (Thaler and Ravishankar): adding or removing a
+/// head does not change the order of the others.
 std::vector<std::size_t> OrderHeads(const ProcessId& entry, std::span<const HeadCapacity> heads)
 {
   std::vector<std::pair<XXH64_hash_t, std::size_t>> weights;
@@ -36,11 +37,11 @@
   return order;
 }
 
-/// \brief What is given out of each head so far.
-class Division
+/// \brief Allocates the capacity of the heads to the entries.
+class HeadAllocator
 {
 public:
-  Division(std::span<const EntryDemand> entries, std::span<const HeadCapacity> heads)
+  HeadAllocator(std::span<const EntryDemand> entries, std::span<const HeadCapacity> heads)
     : m_entries(entries)
     , m_heads(heads)
     , m_orders(entries.size())
@@ -50,47 +51,48 @@
     for (const EntryDemand& entry : entries) {
       sum += entry.part;
     }
-    // Parts have a floor each, so that their sum may be over 1.
-    m_left.assign(heads.size(), sum);
+    // Each part has a lower bound, so that their sum may exceed 1.
+    m_remaining.assign(heads.size(), sum);
     for (std::size_t entry = 0; entry < entries.size(); ++entry) {
       m_orders[entry] = OrderHeads(entries[entry].entry, heads);
       m_wanted[entry] = entries[entry].part * static_cast<double>(heads.size());
     }
   }
 
-  /// Where a domain has less than its entries want, each gets its part of what there is.
-  void ClaimOwn()
+  /// Allocates heads of the entries' own domains. Where a domain has less capacity than its entries
+  /// want, each gets its part of the available capacity.
+  void AllocateLocal()
   {
     std::map<FailureDomainId, double> wanted;
-    std::map<FailureDomainId, double> present;
+    std::map<FailureDomainId, double> available;
     for (std::size_t entry = 0; entry < m_entries.size(); ++entry) {
       wanted[m_entries[entry].failureDomain] += m_wanted[entry];
     }
     for (std::size_t head = 0; head < m_heads.size(); ++head) {
-      present[m_heads[head].failureDomain] += m_left[head];
+      available[m_heads[head].failureDomain] += m_remaining[head];
     }
     for (std::size_t entry = 0; entry < m_entries.size(); ++entry) {
       const FailureDomainId& own = m_entries[entry].failureDomain;
-      const double part = wanted[own] > 0 ? std::min(1.0, present[own] / wanted[own]) : 0;
-      Claim(entry, m_wanted[entry] * part, true, true);
+      const double part = wanted[own] > 0 ? std::min(1.0, available[own] / wanted[own]) : 0;
+      Allocate(entry, m_wanted[entry] * part, true, true);
     }
   }
 
-  void ClaimElsewhere()
+  void AllocateRemaining()
   {
     for (std::size_t entry = 0; entry < m_entries.size(); ++entry) {
-      Claim(entry, m_wanted[entry], false, true);
+      Allocate(entry, m_wanted[entry], false, true);
     }
-    // Pieces that are left over.
+    // Leftovers, without the limit per head and with a lower minimum share.
     for (std::size_t entry = 0; entry < m_entries.size(); ++entry) {
-      Claim(entry, m_wanted[entry], false, false);
+      Allocate(entry, m_wanted[entry], false, false);
     }
   }
 
   [[nodiscard]] std::map<ProcessId, HeadShares> Take() { return std::move(m_shares); }
 
 private:
-  void Claim(std::size_t entry, double most, bool ownOnly, bool byUnits)
+  void Allocate(std::size_t entry, double most, bool ownOnly, bool byUnits)
   {
     const EntryDemand& demand = m_entries[entry];
     HeadShares& shares = m_shares[demand.entry];
@@ -99,17 +101,17 @@
       if (ownOnly && head.failureDomain != demand.failureDomain) {
         continue;
       }
-      const double unit = std::max(demand.part, std::min(1.0, kWholePlaces / head.slots));
-      double taken = std::min({ most, m_wanted[entry], m_left[index] });
+      const double unit = std::max(demand.part, std::min(1.0, kMinSlotsPerHead / head.slots));
+      double taken = std::min({ most, m_wanted[entry], m_remaining[index] });
       if (byUnits) {
         const auto held = shares.find(head.head);
         taken = std::min(taken, unit - (held == shares.end() ? 0 : held->second));
       }
-      if (taken * head.slots < (byUnits ? kLeastPlace : kLeastPlaceLeft)) {
+      if (taken * head.slots < (byUnits ? kMinSlots : kMinLeftoverSlots)) {
         continue;
       }
       shares[head.head] += taken;
-      m_left[index] -= taken;
+      m_remaining[index] -= taken;
       m_wanted[entry] -= taken;
       most -= taken;
     }
@@ -117,9 +119,9 @@
 
   std::span<const EntryDemand> m_entries;
   std::span<const HeadCapacity> m_heads;
-  std::vector<std::vector<std::size_t>> m_orders; ///< Of the heads, by entry.
+  std::vector<std::vector<std::size_t>> m_orders; ///< Head indices by entry.
   std::vector<double> m_wanted;                   ///< By entry, in heads.
-  std::vector<double> m_left;                     ///< By head, in heads.
+  std::vector<double> m_remaining;                ///< By head, in heads.
   std::map<ProcessId, HeadShares> m_shares;
 };
 
@@ -128,10 +130,10 @@
 std::map<ProcessId, HeadShares> DivideHeads(std::span<const EntryDemand> entries,
                                             std::span<const HeadCapacity> heads)
 {
-  Division division(entries, heads);
-  division.ClaimOwn();
-  division.ClaimElsewhere();
-  return division.Take();
+  HeadAllocator allocator(entries, heads);
+  allocator.AllocateLocal();
+  allocator.AllocateRemaining();
+  return allocator.Take();
 }
 
 } // namespace gooseberrysail
--- a/src/control/route_distribution.cpp
+++ b/src/control/route_distribution.cpp
@@ -10,11 +10,12 @@
 
 namespace {
 
-/// \brief Reports that grow too old are noticed this late; news are told at once.
+/// \brief Maximum delay in detecting that a report is too old; changes are processed at once.
 constexpr Duration kRefreshInterval = std::chrono::milliseconds(250);
 constexpr Duration kResendAfter = std::chrono::seconds(5);
-/// \brief A choice for every entry process costs time in proportion to entries times groups, so
-/// with many groups it is made at most this often. Closing a route never waits for it.
+/// \brief Minimum interval between two choices of routes with many groups, because the cost of
+/// choosing for all entry processes is proportional to entries times groups. Closing a route is not
+/// delayed by it.
 constexpr Duration kChoiceInterval = std::chrono::seconds(1);
 constexpr std::size_t kFewGroups = 200;
 
@@ -29,7 +30,7 @@
   return XXH3_64bits_withSeed(&id, sizeof id, seed);
 }
 
-bool Heavier(const RouteWeight& left, const RouteWeight& right)
+bool HasGreaterWeight(const RouteWeight& left, const RouteWeight& right)
 {
   return std::pair(left.weight, left.group) > std::pair(right.weight, right.group);
 }
@@ -52,12 +53,12 @@
     weights.begin(), weights.end(), [](const RouteWeight& weight) { return weight.sameDomain; });
   const auto ownWanted =
     std::min<std::ptrdiff_t>(own - weights.begin(), static_cast<std::ptrdiff_t>(wanted / 2));
-  std::nth_element(weights.begin(), weights.begin() + ownWanted, own, Heavier);
+  std::nth_element(weights.begin(), weights.begin() + ownWanted, own, HasGreaterWeight);
   ids(weights.begin(), weights.begin() + ownWanted);
 
   const auto rest = weights.begin() + ownWanted;
   const auto restWanted = static_cast<std::ptrdiff_t>(wanted) - ownWanted;
-  std::nth_element(rest, rest + restWanted, weights.end(), Heavier);
+  std::nth_element(rest, rest + restWanted, weights.end(), HasGreaterWeight);
   ids(rest, rest + restWanted);
   return chosen;
 }
@@ -150,7 +151,7 @@
         MakeEvent(EventNumber::kGroupServing, { { "group", std::to_string(group.Get()) } }));
     }
   }
-  // What is left in m_rows was served before and is not, or not in the same state.
+  // The rows left in m_rows no longer serve or have changed their state.
   for (const auto& [group, row] : m_rows) {
     m_closed.insert(group);
     if (!rows.contains(group) && row.route.state == wire::RouteState::Open) {
@@ -172,9 +173,9 @@
   }
 }
 
-std::map<GroupId, wire::RouteState> RouteDistribution::Desired(const ControlContext& context,
-                                                               const ProcessId& process,
-                                                               const Client& client) const
+std::map<GroupId, wire::RouteState> RouteDistribution::DesiredRoutes(const ControlContext& context,
+                                                                     const ProcessId& process,
+                                                                     const Client& client) const
 {
   std::map<GroupId, wire::RouteState> desired;
   const std::uint64_t seed = SeedOf(process);
@@ -204,14 +205,14 @@
                                    const std::map<GroupId, wire::RouteState>& desired)
 {
   wire::RoutesUpdateT update;
-  update.whole = client.needsWhole;
+  update.whole = client.needsFullUpdate;
   for (const auto& [group, state] : desired) {
     const auto before = client.sent.find(group);
-    if (client.needsWhole || before == client.sent.end() || before->second != state) {
+    if (client.needsFullUpdate || before == client.sent.end() || before->second != state) {
       update.routes.push_back(std::make_unique<wire::RouteT>(m_rows.at(group).route));
     }
   }
-  if (!client.needsWhole) {
+  if (!client.needsFullUpdate) {
     for (const auto& [group, state] : client.sent) {
       if (!desired.contains(group)) {
         auto gone = std::make_unique<wire::RouteT>();
@@ -225,14 +226,14 @@
       return;
     }
   }
-  // The term leads, so that a new leader's numbers are above its predecessor's.
+  // The term is in the high bits, so that a new leader's numbers are above its predecessor's.
   constexpr unsigned kTermShift = 32;
   if (client.sequence == 0) {
     client.sequence = context.replication.term.Get() << kTermShift;
   }
   update.sequence = ++client.sequence;
   client.sent = desired;
-  client.needsWhole = false;
+  client.needsFullUpdate = false;
   client.sentAt = context.now;
   context.SendMessage(process, std::move(update));
 }
@@ -267,7 +268,7 @@
     }
     const bool unacked = client.acked < client.sequence;
     if (unacked && context.now - client.sentAt >= kResendAfter) {
-      client.needsWhole = true;
+      client.needsFullUpdate = true;
     }
   }
 }
@@ -276,14 +277,14 @@
                              const TargetMembership& membership,
                              const ConfigService& config)
 {
-  // A new leader that spoke before it heard the heads would take every route away at once; until
-  // then the entries keep what its predecessor told them.
+  // A new leader that sent updates before the heads have reported would remove all routes at once.
+  // Until then the entries keep the routes of its predecessor.
   if (!context.HasFreshQuorum() || !membership.HasHeardAll(context)) {
     return;
   }
-  const std::pair now(context.state.GetGroups().Revision(), membership.Observations());
-  if (now != m_refreshedOn || context.now >= m_nextRefresh) {
-    m_refreshedOn = now;
+  const std::pair revisions(context.state.GetGroups().Revision(), membership.Observations());
+  if (revisions != m_refreshedRevisions || context.now >= m_nextRefresh) {
+    m_refreshedRevisions = revisions;
     m_nextRefresh = context.now + kRefreshInterval;
     RefreshRows(context, membership);
     RefreshClients(context, config);
@@ -291,8 +292,8 @@
   const bool mayChoose = m_rows.size() <= kFewGroups || context.now >= m_nextChoice;
   const bool chooseAll = mayChoose && (m_opened || !m_closed.empty());
   for (auto& [process, client] : m_clients) {
-    if (chooseAll || client.needsWhole) {
-      SendUpdate(context, process, client, Desired(context, process, client));
+    if (chooseAll || client.needsFullUpdate) {
+      SendUpdate(context, process, client, DesiredRoutes(context, process, client));
     } else if (!m_closed.empty()) {
       SendClosed(context, process, client);
     }
@@ -301,7 +302,7 @@
     m_opened = false;
     m_nextChoice = context.now + kChoiceInterval;
   } else if (!m_closed.empty()) {
-    m_opened = true; // Places were vacated: choose again at the next chance.
+    m_opened = true; // Candidates were removed: choose again as soon as allowed.
   }
   m_closed.clear();
 }
--- a/src/control/serving_control.cpp
+++ b/src/control/serving_control.cpp
@@ -11,11 +11,12 @@
 
 using namespace std::chrono_literals;
 
-/// Groups are looked at this often, and at once when a target's state changed.
-constexpr Duration kKeepInterval = 200ms;
+/// Interval of reconciling the groups, which is also done at once when a target's state changes.
+constexpr Duration kReconcileInterval = 200ms;
 constexpr Duration kForgetInterval = 5s;
-/// Answers of a head that lost its lead go on for about as long as callers wait at most.
-constexpr Duration kTellFormerHead = 15s;
+/// How long entries are sent a former head after it stopped leading a group. Its answers in
+/// progress can last about as long as callers wait at most.
+constexpr Duration kFormerHeadRetention = 15s;
 
 const char* ToString(OrderOutcome outcome)
 {
@@ -62,51 +63,54 @@
   if (!call) {
     return false;
   }
-  std::visit([&](const auto& value) { Take(context, request.exchange, value); }, *call);
+  std::visit([&](const auto& value) { Handle(context, request.exchange, value); }, *call);
   return true;
 }
 
-void ServingControl::Take(ControlContext& context, ExchangeId exchange, const PutDocumentCall& call)
+void ServingControl::Handle(ControlContext& context,
+                            ExchangeId exchange,
+                            const PutDocumentCall& call)
 {
   if (IsForLeader(context, exchange)) {
     m_documents.OnPut(context, exchange, call.text, m_api.readDocument, Responder(context));
   }
 }
 
-void ServingControl::Take(ControlContext& context, ExchangeId exchange, const GetDocumentCall&)
+void ServingControl::Handle(ControlContext& context, ExchangeId exchange, const GetDocumentCall&)
 {
   if (IsForLeader(context, exchange)) {
     m_documents.OnGet(context, exchange);
   }
 }
 
-// A target that is told "heard" while it leaves counts on getting no more work soon. Only a process
-// that knows a leader can get the word to the entries.
-void ServingControl::Take(ControlContext& context, ExchangeId exchange, const AnnounceCall& call)
+// After a positive response a leaving target expects to receive no more work soon. Only a process
+// that knows a leader can get the announcement to the entries.
+void ServingControl::Handle(ControlContext& context, ExchangeId exchange, const AnnounceCall& call)
 {
   if (!context.ready && context.replication.leaderHint.IsNone()) {
     Respond(context, exchange, { OutsideStatus::kUnavailable, {}, "no leader is known", {} });
     return;
   }
   const InstanceId& instance = call.announcement.instance;
-  if (!IsNamed(call.announcement)) {
-    Take(context, exchange, MalformedCall{ instance.Get(), "no document names its service" });
+  if (!IsServiceKnown(call.announcement)) {
+    Handle(context, exchange, MalformedCall{ instance.Get(), "no document names its service" });
     return;
   }
   const TargetTable::Change change = m_targets.Hear(context.now, call.announcement);
-  const bool isNews = change == TargetTable::Change::kState;
+  const bool stateChanged = change == TargetTable::Change::kState;
   if (change != TargetTable::Change::kNone) {
-    m_relay.Note(context, instance, isNews);
+    m_relay.Enqueue(context, instance, stateChanged);
   }
-  if (isNews) {
+  if (stateChanged) {
     NoteChange(context, instance);
   }
   Respond(context, exchange, {});
 }
 
-// Another writer's entry under a target's name would take the target away from its service. Before
-// the first document, and for a target of a service that a document dropped, every word counts.
-bool ServingControl::IsNamed(const TargetAnnouncement& announcement) const
+// An announcement with a wrong service under a target's name would remove the target from its
+// service. Announcements are always accepted before the first document, and for a known target
+// whose service is no longer in the document.
+bool ServingControl::IsServiceKnown(const TargetAnnouncement& announcement) const
 {
   const TargetRow* row = m_targets.Find(announcement.instance);
   if (row != nullptr && row->latest.service == announcement.service) {
@@ -117,7 +121,7 @@
            m_document->services.end();
 }
 
-void ServingControl::Take(ControlContext& context, ExchangeId exchange, const LeaveCall& call)
+void ServingControl::Handle(ControlContext& context, ExchangeId exchange, const LeaveCall& call)
 {
   if (!context.ready && context.replication.leaderHint.IsNone()) {
     Respond(context, exchange, { OutsideStatus::kUnavailable, {}, "no leader is known", {} });
@@ -126,11 +130,11 @@
   if (m_targets.Leave(context.now, call.instance) == TargetTable::Change::kState) {
     NoteChange(context, call.instance);
   }
-  m_relay.Note(context, call.instance, true);
+  m_relay.Enqueue(context, call.instance, true);
   Respond(context, exchange, {});
 }
 
-void ServingControl::Take(ControlContext& context, ExchangeId exchange, const MalformedCall& call)
+void ServingControl::Handle(ControlContext& context, ExchangeId exchange, const MalformedCall& call)
 {
   m_refused.Note(call.caller, call.reason);
   Respond(context, exchange, { OutsideStatus::kInvalid, {}, call.reason, {} });
@@ -168,7 +172,7 @@
 
 void ServingControl::NoteChange(ControlContext& context, const InstanceId& instance)
 {
-  m_nextKeep = context.now;
+  m_nextReconcile = context.now;
   const TargetAnnouncement& target = m_targets.Find(instance)->latest;
   context.outbox.emplace_back(
     MakeEvent(EventNumber::kTargetChanged,
@@ -191,7 +195,7 @@
     heard.left ? m_targets.Leave(context.now, InstanceId(heard.instance), Incarnation(heard.born))
                : m_targets.Hear(context.now, FromWire(heard));
   if (change == TargetTable::Change::kState) {
-    m_nextKeep = context.now;
+    m_nextReconcile = context.now;
   }
 }
 
@@ -211,9 +215,9 @@
   }
   if (context.ready && context.HasFreshQuorum()) {
     m_feed.OnQuery(context, peer, *query);
-    const bool complains =
+    const bool reportsFailure =
       std::ranges::any_of(query->heads, [](const auto& head) { return head->failing; });
-    m_nextKeep = complains ? context.now : m_nextKeep;
+    m_nextReconcile = reportsFailure ? context.now : m_nextReconcile;
   } else {
     context.SendMessage(peer, MakeControlList(context));
   }
@@ -262,25 +266,25 @@
     context.outbox.emplace_back(std::move(*report));
   }
   m_relay.Tick(context, m_targets);
-  FollowDocument(context);
+  ApplyStoredDocument(context);
   if (!context.ready) {
     return;
   }
   m_documents.Tick(context, Responder(context));
-  // A deposed leader that does not know it yet must neither order targets nor supply entries.
+  // A leader that was deposed without knowing it must neither send orders nor state to entries.
   if (!context.HasFreshQuorum()) {
     return;
   }
-  if (context.now >= m_nextKeep) {
-    m_nextKeep = context.now + kKeepInterval;
-    KeepGroups(context);
+  if (context.now >= m_nextReconcile) {
+    m_nextReconcile = context.now + kReconcileInterval;
+    ReconcileGroups(context);
     m_feed.SetTargets(ListTargets(context));
   }
   m_feed.SetWhole(HasHeardAll(context.now));
   m_feed.Tick(context);
 }
 
-void ServingControl::FollowDocument(ControlContext& context)
+void ServingControl::ApplyStoredDocument(ControlContext& context)
 {
   const StoredDocument& stored = context.state.GetDocument();
   if (stored.version == m_documentVersion) {
@@ -304,7 +308,7 @@
                 { "bytes", std::to_string(stored.text.size()) } }));
 }
 
-void ServingControl::KeepGroups(ControlContext& context)
+void ServingControl::ReconcileGroups(ControlContext& context)
 {
   if (!m_document) {
     return;
@@ -333,89 +337,89 @@
   for (GroupOrder& order : orders) {
     const ExchangeId exchange(++m_lastOrder);
     context.outbox.emplace_back(m_api.encodeOrder(exchange, order));
-    m_orders.emplace(exchange, OpenOrder{ std::move(order), context.now, 0, {} });
+    m_pendingOrders.emplace(exchange, PendingOrder{ std::move(order), context.now, 0, {} });
   }
 }
 
 void ServingControl::OnOrderAnswer(ControlContext& context, const TargetAnswerIn& answer)
 {
-  const auto found = m_orders.find(answer.exchange);
-  if (found == m_orders.end()) {
+  const auto found = m_pendingOrders.find(answer.exchange);
+  if (found == m_pendingOrders.end()) {
     return;
   }
-  OpenOrder& open = found->second;
-  open.status = answer.status.value_or(open.status);
-  // Only a probe's answer says more than its status.
-  if (open.order.kind == GroupOrderKind::kProbe) {
-    open.body += answer.bytes;
+  PendingOrder& pending = found->second;
+  pending.status = answer.status.value_or(pending.status);
+  // Only the answer to a probe has a body that is needed.
+  if (pending.order.kind == GroupOrderKind::kProbe) {
+    pending.body += answer.bytes;
     if (!answer.end) {
       return;
     }
-    TakeReport(context, open);
+    HandleReport(context, pending);
   }
-  EndOrder(context, answer.exchange, m_api.decodeOrderStatus(open.status), open.status);
+  CompleteOrder(context, answer.exchange, m_api.decodeOrderStatus(pending.status), pending.status);
 }
 
-void ServingControl::TakeReport(ControlContext& context, const OpenOrder& open)
+void ServingControl::HandleReport(ControlContext& context, const PendingOrder& pending)
 {
-  const bool isAnswer = m_api.decodeOrderStatus(open.status) == OrderOutcome::kDone;
-  const TargetRow* row = m_targets.Find(open.order.target);
-  if (isAnswer && row != nullptr && row->latest.born == open.order.born) {
-    m_groups.OnReport(context.now, open.order, m_api.decodeReport(open.body));
+  const bool isAnswer = m_api.decodeOrderStatus(pending.status) == OrderOutcome::kDone;
+  const TargetRow* row = m_targets.Find(pending.order.target);
+  if (isAnswer && row != nullptr && row->latest.born == pending.order.born) {
+    m_groups.OnReport(context.now, pending.order, m_api.decodeReport(pending.body));
   }
 }
 
 void ServingControl::OnOrderFailed(ControlContext& context, const TargetFailedIn& failed)
 {
   const bool nobodyThere = failed.neverSent && failed.error.code == ErrorCode::kUnavailable;
-  EndOrder(
+  CompleteOrder(
     context, failed.exchange, nobodyThere ? OrderOutcome::kNoTarget : OrderOutcome::kUnknown, 0);
 }
 
-void ServingControl::EndOrder(ControlContext& context,
-                              ExchangeId exchange,
-                              OrderOutcome outcome,
-                              unsigned status)
+void ServingControl::CompleteOrder(ControlContext& context,
+                                   ExchangeId exchange,
+                                   OrderOutcome outcome,
+                                   unsigned status)
 {
-  const auto found = m_orders.find(exchange);
-  if (found == m_orders.end()) {
+  const auto found = m_pendingOrders.find(exchange);
+  if (found == m_pendingOrders.end()) {
     return;
   }
-  const OpenOrder open = std::move(found->second);
-  m_orders.erase(found);
+  const PendingOrder pending = std::move(found->second);
+  m_pendingOrders.erase(found);
   context.outbox.emplace_back(
     MakeEvent(EventNumber::kGroupOrderEnded,
-              { { "target", open.order.target.Get() },
-                { "order", gooseberrysail::ToString(open.order.kind) },
-                { "group", open.order.group },
+              { { "target", pending.order.target.Get() },
+                { "order", gooseberrysail::ToString(pending.order.kind) },
+                { "group", pending.order.group },
                 { "outcome", ToString(outcome) },
                 { "status", std::to_string(status) },
-                { "millis", std::to_string(ToMillis(context.now - open.since)) } }));
-  // What the former life of a target answered, or did not, says nothing of the present one.
-  const TargetRow* row = m_targets.Find(open.order.target);
-  if (row == nullptr || row->latest.born == open.order.born) {
-    m_groups.OnOrderOutcome(context.now, open.order, outcome);
+                { "millis", std::to_string(ToMillis(context.now - pending.since)) } }));
+  // The outcome for a former incarnation of a target is irrelevant for the current one.
+  const TargetRow* row = m_targets.Find(pending.order.target);
+  if (row == nullptr || row->latest.born == pending.order.born) {
+    m_groups.OnOrderOutcome(context.now, pending.order, outcome);
   }
-  m_nextKeep = context.now; // The next step of a repair need not wait.
+  m_nextReconcile = context.now; // The next step may follow immediately.
 }
 
-// Engines that lead no group take no requests, and they are most of all targets: entries that were
-// told of each of them got six rows for one that they use. Who led a group lately is told still, so
-// that entries learn what became of the work that they have there.
+// Engines that lead no group take no requests, and they are the majority of the targets: with all
+// of them entries would receive six rows for each one that they use. Recent heads are included, so
+// that entries learn what became of their work in progress there.
 bool ServingControl::TakesRequests(const TargetAnnouncement& target) const
 {
   const bool hasEngine = m_document && FindEngine(*m_document, target.service) != nullptr;
-  return !hasEngine || m_ledAt.contains(target.instance);
+  return !hasEngine || m_lastLedAt.contains(target.instance);
 }
 
 std::vector<ServedTarget> ServingControl::ListTargets(const ControlContext& context)
 {
   const std::map<InstanceId, std::string> heads = m_groups.ServingHeads();
   for (const auto& [head, model] : heads) {
-    m_ledAt[head] = context.now;
+    m_lastLedAt[head] = context.now;
   }
-  std::erase_if(m_ledAt,
-                [&](const auto& head) { return context.now - head.second > kTellFormerHead; });
+  std::erase_if(m_lastLedAt,
+                [&](const auto& head) { return context.now - head.second > kFormerHeadRetention; });
   std::vector<ServedTarget> targets;
   for (const auto& [instance, row] : m_targets.Rows()) {
     const TargetAnnouncement& latest = row.latest;
--- a/src/control/slow_targets.cpp
+++ b/src/control/slow_targets.cpp
@@ -2,7 +2,7 @@
 
 namespace gooseberrysail {
 
-bool SlowTargets::Note(TimePoint now, const InstanceId& target, double pace)
+bool SlowTargets::Record(TimePoint now, const InstanceId& target, double pace)
 {
   if (pace < kSlow) {
     return m_rows.erase(target) != 0;
--- a/src/control/target_changes.cpp
+++ b/src/control/target_changes.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// What an entry sends to a target that is leaving, lost its group or started again is sent in
-/// vain. A place more is of use a moment later as well.
+/// Requests that an entry sends to a target that is leaving, lost its group or restarted are
+/// wasted. Added capacity can be announced slightly later without harm.
 bool IsUrgent(const ServedTarget& former, const ServedTarget& now)
 {
   const bool lostItsModel = !former.servedModel.empty() && now.servedModel != former.servedModel;
@@ -32,7 +32,7 @@
       ++row;
       continue;
     }
-    RememberGone(row->first);
+    RecordRemoval(row->first);
     row = m_rows.erase(row);
     urgency = Urgency::kImmediate;
   }
@@ -51,32 +51,32 @@
   }
   const bool isUrgent = !fresh && IsUrgent(row.target, target);
   row = { target, m_sequence };
-  m_gone.erase(target.instance);
+  m_removed.erase(target.instance);
   return isUrgent ? Urgency::kImmediate : Urgency::kDeferrable;
 }
 
-void TargetChanges::RememberGone(const InstanceId& instance)
+void TargetChanges::RecordRemoval(const InstanceId& instance)
 {
-  m_gone[instance] = m_sequence;
-  if (m_gone.size() <= kMaxGone) {
+  m_removed[instance] = m_sequence;
+  if (m_removed.size() <= kMaxRemoved) {
     return;
   }
   const auto oldest =
-    std::ranges::min_element(m_gone, {}, [](const auto& row) { return row.second; });
+    std::ranges::min_element(m_removed, {}, [](const auto& row) { return row.second; });
   m_oldestBase = oldest->second;
-  m_gone.erase(oldest);
+  m_removed.erase(oldest);
 }
 
 void TargetChanges::Reset()
 {
   m_rows.clear();
-  m_gone.clear();
+  m_removed.clear();
   m_sequence = 0;
   m_oldestBase = 0;
 }
 
-// Rows bear their latest values only, so that a reader that has more than `base` may take them over
-// as well: what it has already is told again, and nothing goes back.
+// Rows contain only their latest values, so that a reader with a later sequence number than `base`
+// can apply them as well: it receives some values again, but none is reverted.
 void TargetChanges::Fill(std::uint64_t base, wire::ServingStateT& state) const
 {
   const bool isWhole = base == 0 || base < m_oldestBase;
@@ -91,8 +91,8 @@
   if (isWhole) {
     return;
   }
-  for (const auto& [instance, goneIn] : m_gone) {
-    if (goneIn > base) {
+  for (const auto& [instance, removedIn] : m_removed) {
+    if (removedIn > base) {
       state.goneTargets.push_back(instance.Get());
     }
   }
--- a/src/control/target_relay.cpp
+++ b/src/control/target_relay.cpp
@@ -6,26 +6,26 @@
 
 namespace {
 
-/// A few heartbeats.
-constexpr Duration kHeardLately = std::chrono::seconds(2);
+/// Maximum age of a heartbeat that is forwarded to a new peer: a few heartbeat intervals.
+constexpr Duration kRecentlyHeard = std::chrono::seconds(2);
 
 } // namespace
 
-void TargetRelay::Note(const ControlContext& context, const InstanceId& instance, bool isNews)
+void TargetRelay::Enqueue(const ControlContext& context, const InstanceId& instance, bool isUrgent)
 {
-  const TimePoint due = isNews ? context.now : context.now + kJoinTime;
+  const TimePoint due = isUrgent ? context.now : context.now + kBatchDelay;
   for (const EntrySettings::Control& control : context.controls) {
     if (control.process == context.settings.process || !context.IsUp(control.process)) {
       continue;
     }
-    Waiting& waiting = m_waiting[control.process];
-    waiting.due = waiting.targets.empty() ? due : std::min(waiting.due, due);
-    waiting.targets.insert(instance);
+    Pending& pending = m_pending[control.process];
+    pending.due = pending.targets.empty() ? due : std::min(pending.due, due);
+    pending.targets.insert(instance);
   }
 }
 
-// A farewell is said once. Lost with a connection it would leave the target listed at a leader that
-// learned of it through this process, until its silence shows.
+// A target announces only once that it leaves. If that were lost with a connection, a leader that
+// depends on this process would list the target until its heartbeats time out.
 void TargetRelay::OnPeerUp(const ControlContext& context,
                            const ProcessId& process,
                            const TargetTable& targets)
@@ -35,31 +35,31 @@
   if (!isControl) {
     return;
   }
-  Waiting& waiting = m_waiting[process];
-  waiting.due = context.now;
+  Pending& pending = m_pending[process];
+  pending.due = context.now;
   for (const auto& [instance, row] : targets.Rows()) {
-    // Others would take the word of one that fell silent for a sign of life.
-    if (row.latest.left || context.now - row.heardAt <= kHeardLately) {
-      waiting.targets.insert(instance);
+    // Forwarding the old announcement of a silent target would count as a new heartbeat of it.
+    if (row.latest.left || context.now - row.heardAt <= kRecentlyHeard) {
+      pending.targets.insert(instance);
     }
   }
 }
 
-// A frame for each heartbeat and process would make the cost grow with targets x control processes,
-// and most of it would be the frames themselves.
+// One frame for each heartbeat and process would cost in proportion to targets x control processes,
+// and most of that cost would be framing overhead.
 void TargetRelay::Tick(ControlContext& context, const TargetTable& targets)
 {
-  for (auto& [process, waiting] : m_waiting) {
-    if (waiting.targets.empty() || context.now < waiting.due || !context.HasRoom(process)) {
+  for (auto& [process, pending] : m_pending) {
+    if (pending.targets.empty() || context.now < pending.due || !context.HasRoom(process)) {
       continue;
     }
     wire::TargetsHeardT heard;
-    for (const InstanceId& instance : waiting.targets) {
+    for (const InstanceId& instance : pending.targets) {
       if (const TargetRow* row = targets.Find(instance)) {
         heard.heard.push_back(std::make_unique<wire::TargetHeardT>(ToWire(row->latest)));
       }
     }
-    waiting.targets.clear();
+    pending.targets.clear();
     context.SendMessage(process, std::move(heard));
   }
 }
--- a/src/control/target_verifier.cpp
+++ b/src/control/target_verifier.cpp
@@ -45,8 +45,8 @@
   for (const auto& [address, rows] : byAddress) {
     Rows left;
     for (const TargetRow* row : rows) {
-      if (const TargetRow* present = FindPresent(rows, *row)) {
-        replacements.push_back({ LifeOf(*row), present->latest.instance });
+      if (const TargetRow* replacement = FindReplacement(rows, *row)) {
+        replacements.push_back({ LifeOf(*row), replacement->latest.instance });
         OnReplaced(LifeOf(*row));
       } else {
         left.push_back(row);
@@ -61,15 +61,16 @@
   return replacements;
 }
 
-// An address belongs to one target at a time. Whoever answers there after the last word of another
-// identity came after it; the order in which their first words arrived tells nothing.
-const TargetRow* TargetVerifier::FindPresent(const Rows& rows, const TargetRow& row) const
+// An address belongs to one target at a time. A target that answers there after the last
+// announcement of another identity has replaced it. The order in which the first announcements of
+// the identities arrived is not conclusive.
+const TargetRow* TargetVerifier::FindReplacement(const Rows& rows, const TargetRow& row) const
 {
-  const auto present = std::ranges::find_if(rows, [&](const TargetRow* other) {
+  const auto replacement = std::ranges::find_if(rows, [&](const TargetRow* other) {
     const Answer* answer = m_identities.FindAnswer(*other);
     return other != &row && answer != nullptr && answer->askedAt > row.heardAt;
   });
-  return present == rows.end() ? nullptr : *present;
+  return replacement == rows.end() ? nullptr : *replacement;
 }
 
 std::vector<InstanceId> TargetVerifier::TakeContested(
@@ -77,20 +78,20 @@
   const TargetTable& targets,
   const std::function<bool(const TargetRow&)>& isEngine)
 {
-  return Take(now, targets, m_identities, [&](const TargetRow& row) {
+  return TakeDue(now, targets, m_identities, [&](const TargetRow& row) {
     return IsContested(row.latest.instance) && isEngine(row);
   });
 }
 
-std::vector<InstanceId> TargetVerifier::TakeDoubtful(
+std::vector<InstanceId> TargetVerifier::TakeUnconfirmed(
   TimePoint now,
   const TargetTable& targets,
-  const std::function<bool(const TargetRow&)>& isDoubtful)
+  const std::function<bool(const TargetRow&)>& isUnconfirmed)
 {
-  return Take(now, targets, m_reports, isDoubtful);
+  return TakeDue(now, targets, m_reports, isUnconfirmed);
 }
 
-std::vector<InstanceId> TargetVerifier::Take(
+std::vector<InstanceId> TargetVerifier::TakeDue(
   TimePoint now,
   const TargetTable& targets,
   Question& question,
@@ -98,8 +99,8 @@
 {
   std::vector<InstanceId> due;
   for (const auto& [instance, row] : targets.Rows()) {
-    const bool isThere = !row.latest.address.empty() && !row.latest.left && !IsReplaced(row);
-    if (isThere && question.MayAsk(now, row) && mustAsk(row)) {
+    const bool isAddressable = !row.latest.address.empty() && !row.latest.left && !IsReplaced(row);
+    if (isAddressable && question.MayAsk(now, row) && mustAsk(row)) {
       question.askedAt[instance] = now;
       due.push_back(instance);
     }
@@ -139,8 +140,8 @@
   return isOfThisLife ? &answer->second : nullptr;
 }
 
-// One that gave no answer is asked again when it has spoken since: a target that is cut off would
-// be asked in vain for as long as the cut lasts.
+// A target that did not answer is queried again only after another announcement. A target that is
+// cut off would otherwise be queried in vain for as long as it is unreachable.
 bool TargetVerifier::Question::MayAsk(TimePoint now, const TargetRow& row) const
 {
   const auto asked = askedAt.find(row.latest.instance);
--- a/src/control/usage_shares.cpp
+++ b/src/control/usage_shares.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// \brief Part of a limit that is spread evenly whatever the demand, so that an entry that had no
-/// caller of a workspace can admit the first one before the next division.
+/// \brief Fraction of a limit that is spread evenly regardless of demand, so that an entry without
+/// callers of a workspace can admit the first one before the next division.
 constexpr double kEvenPart = 0.1;
 constexpr std::size_t kMaxWorkspacesReported = 10'000;
 
@@ -108,8 +108,8 @@
       const auto found = reporter->demand.find(name);
       demands.push_back(found == reporter->demand.end() ? 0.0 : found->second);
     }
-    // Divided as parts of one, by demand relative to the requests limit; without that limit, in
-    // proportion to demand.
+    // Divides 1 by the demands relative to the request limit, or in proportion to demand if there
+    // is no such limit.
     const double total = std::accumulate(demands.begin(), demands.end(), 0.0);
     const double scale = spec.requestsPerSecond > 0 ? spec.requestsPerSecond : total;
     for (double& demand : demands) {
--- a/tests/unit/control_services_test.cpp
+++ b/tests/unit/control_services_test.cpp
@@ -66,9 +66,8 @@
   }
 };
 
-// Symptom: a booking is made twice.
-// Sequence: a caller's call and its retry reach two entries at the same time.
-// Cause: each entry decides by itself, or control answers before the claim is committed.
+// Guards against running work twice when a call and its retry reach two entries at the same time:
+// an entry must not decide by itself, and control must not answer before the claim is committed.
 TEST(ControlClaims, OfTwoEntriesWithOneKeyExactlyOneMayRun)
 {
   Claims test;
@@ -85,11 +84,11 @@
   EXPECT_EQ(replies[1].second.state, wire::ClaimState::Running);
   EXPECT_EQ(replies[1].second.holder, "entry-1.1.1");
 
-  SECTION("the holder asking again gets its grant again")
+  SECTION("the holder is granted the claim again when it repeats the request")
   {
     EXPECT_EQ(test.Ask("entry-1", "k", "entry-1.1.1").state, wire::ClaimState::Granted);
   }
-  SECTION("finished work is answered from what is held")
+  SECTION("finished work is answered with the stored outcome")
   {
     const auto acks = Sent<wire::ClaimOutcomeAckT>(
       test.Send({ From("entry-1", Outcome("k", "entry-1.1.1", true)) }));
@@ -100,7 +99,7 @@
     EXPECT_EQ(again.body.size(), 4U);
     EXPECT_TRUE(again.bodyMatches);
   }
-  SECTION("it is remembered by the next leader, from a snapshot")
+  SECTION("the next leader restores it from a snapshot")
   {
     const auto snapshot = test.control.role->TakeSnapshot();
     test.control.Restart(snapshot, test.control.applied);
@@ -110,26 +109,26 @@
   }
 }
 
-TEST(ControlClaims, WorkThatNeverRanGivesItsKeyBack)
+TEST(ControlClaims, WorkThatNeverRanReleasesItsKey)
 {
   Claims test;
   EXPECT_EQ(test.Ask("entry-1", "k", "entry-1.1.1").state, wire::ClaimState::Granted);
-  SECTION("not when another than the holder says so")
+  SECTION("not when another entry than the holder reports it")
   {
     test.Send({ From("entry-2", Outcome("k", "entry-2.1.1", false)) });
     EXPECT_EQ(test.Ask("entry-2", "k", "entry-2.1.1").state, wire::ClaimState::Running);
   }
-  SECTION("when the holder says so, another may run")
+  SECTION("when the holder reports it, another entry may run")
   {
     test.Send({ From("entry-1", Outcome("k", "entry-1.1.1", false)) });
     EXPECT_EQ(test.Ask("entry-2", "k", "entry-2.1.2").state, wire::ClaimState::Granted);
   }
 }
 
-// Symptom: work runs a second time after its entry died, or its caller waits for ever.
-// Sequence: an entry holds a claim and is killed; it comes back with no memory; the caller retries.
-// Cause: giving the key away because the holder is gone: it may have run.
-TEST(ControlClaims, TheClaimOfADeadEntryIsUnknownAndNotGivenAway)
+// Guards against running work a second time after its entry died, or letting its caller wait for
+// ever. The killed entry restarts without its state, and the caller retries. The key must not be
+// granted to another entry, because the work may have run.
+TEST(ControlClaims, TheClaimOfADeadEntryIsUnknownAndNotReassigned)
 {
   Claims test;
   EXPECT_EQ(test.Ask("entry-1", "k", "entry-1.1.1").state, wire::ClaimState::Granted);
@@ -139,9 +138,8 @@
   EXPECT_EQ(test.Ask("entry-2", "k", "entry-2.1.2").state, wire::ClaimState::Unknown);
 }
 
-// Symptom: a claim stays running although its work ended and was acknowledged.
-// Sequence: a deposed leader that doesn't know the claim is told its outcome, and acknowledges.
-// Cause: taking "I don't know this claim" for "it was settled".
+// Guards against a claim that stays running although its work ended. A deposed leader that does not
+// know the claim must not acknowledge its outcome as if the claim had been settled.
 TEST(ControlClaims, AnOutcomeIsAcknowledgedOnlyWhenItIsCommitted)
 {
   Claims test;
@@ -151,7 +149,7 @@
   EXPECT_THAT(Sent<wire::ClaimOutcomeAckT>(outbox), IsEmpty());
 }
 
-TEST(ClaimTable, HoldsAnswersWithinItsBytesAndForgetsByAge)
+TEST(ClaimTable, HoldsAnswersWithinItsByteLimitAndExpiresByAge)
 {
   ClaimTable table;
   const std::size_t count = ClaimTable::kMaxHeldBytes / ClaimTable::kMaxAnswerBytes + 10;
@@ -167,7 +165,7 @@
   EXPECT_EQ(table.Apply(batch), 0U);
   table.Apply(outcomes);
   EXPECT_LE(table.HeldBytes(), ClaimTable::kMaxHeldBytes);
-  SECTION("the oldest answers went, their outcomes stay")
+  SECTION("the oldest answers are dropped, their outcomes are kept")
   {
     const ClaimRow* oldest = table.Find({ "site-7", "k0" });
     ASSERT_NE(oldest, nullptr);
@@ -175,7 +173,7 @@
     EXPECT_FALSE(oldest->answerHeld);
     EXPECT_EQ(oldest->outcome.outcome, "completed");
   }
-  SECTION("a snapshot keeps all of it")
+  SECTION("a snapshot preserves the table")
   {
     wire::ControlSnapshotT snapshot;
     table.SaveTo(snapshot);
@@ -184,7 +182,7 @@
     EXPECT_EQ(copy.Size(), table.Size());
     EXPECT_EQ(copy.HeldBytes(), table.HeldBytes());
   }
-  SECTION("younger claims stay, older ones are forgotten")
+  SECTION("older claims are removed, younger ones are kept")
   {
     wire::ExpireClaimsT expire;
     expire.olderThanMillis = 1000;
@@ -197,8 +195,8 @@
   }
 }
 
-// Symptom: work with an old key runs a second time.
-// Sequence: many new keys arrive; the table drops old ones to make room.
+// Guards against dropping old keys for new ones, after which work with an old key runs a second
+// time.
 TEST(ClaimTable, AFullTableRefusesNewClaimsAndKeepsTheOldOnes)
 {
   ClaimTable table;
@@ -223,7 +221,7 @@
     std::count_if(chosen.begin(), chosen.end(), [](GroupId group) { return group.Get() % 3 == 0; });
   EXPECT_GE(own, 16);
   EXPECT_LT(own, 32);
-  SECTION("one group less moves at most one candidate")
+  SECTION("removing a group changes at most one candidate")
   {
     std::vector<RouteWeight> fewer = weights;
     std::erase_if(fewer, [&](const RouteWeight& weight) { return weight.group == chosen[0]; });
@@ -252,7 +250,7 @@
   EXPECT_EQ(std::accumulate(whole.begin(), whole.end(), 0U), 7U);
 }
 
-TEST(Shares, EachEntryIsToldItsPart)
+TEST(Shares, EachEntryIsSentItsPart)
 {
   Claims test;
   const std::string write = R"({"entry":{"kind":"workspace","name":"site-7","owner":"x","spec":)"
@@ -280,14 +278,14 @@
   EXPECT_EQ(concurrent, 10U);
 }
 
-TEST(AdminQueries, AskTheEntryAndTellWhatItKnows)
+TEST(AdminQueries, AskTheEntryAndReturnItsAnswer)
 {
   Claims test;
   auto outbox = test.Send({ Called(5, "GET", "/admin/v1/requests/entry-1.1.9") });
   const auto queries = Sent<wire::RequestQueryT>(outbox);
   ASSERT_EQ(queries.size(), 1U);
   EXPECT_EQ(queries[0].first, "entry-1");
-  SECTION("its answer is passed on")
+  SECTION("its answer is returned")
   {
     wire::RequestAnswerT answer;
     answer.nonce = queries[0].second.nonce;
@@ -306,7 +304,7 @@
   }
 }
 
-TEST(AdminQueries, TheTimelineNamesWhoWasNotReached)
+TEST(AdminQueries, TheTimelineListsUnreachableProcesses)
 {
   Claims test;
   auto outbox = test.Send({ Called(5, "GET", "/admin/v1/timeline?limit=10") });
@@ -319,10 +317,10 @@
   answer.events[0]->process = "entry-1";
   test.control.Tick({ From("entry-1", std::move(answer)) });
   outbox = test.control.Run(seconds(3));
-  const auto told = AnswerOf(outbox, 5);
-  ASSERT_TRUE(told);
-  EXPECT_EQ(told->body.at("events").as_array().size(), 1U);
-  EXPECT_EQ(boost::json::serialize(told->body.at("notReached")), R"(["control-1","entry-2"])");
+  const auto response = AnswerOf(outbox, 5);
+  ASSERT_TRUE(response);
+  EXPECT_EQ(response->body.at("events").as_array().size(), 1U);
+  EXPECT_EQ(boost::json::serialize(response->body.at("notReached")), R"(["control-1","entry-2"])");
   SECTION("bad parameters are refused")
   {
     outbox = test.Send({ Called(6, "GET", "/admin/v1/timeline?limit=0") });
--- a/tests/unit/engine_group_loads_test.cpp
+++ b/tests/unit/engine_group_loads_test.cpp
@@ -19,7 +19,7 @@
   });
 }
 
-// Guards against a host that refused a load being taken for one that loads.
+// Guards against counting a host that refused a load as loading.
 TEST(EngineGroupLoads, ARefusedLoadIsOrderedAgain)
 {
   FakeFleet fleet = ServingFleet();
@@ -30,12 +30,12 @@
   const auto refused = CountLoadOrders(fleet, cold);
   ASSERT_GE(refused, 1);
   fleet.At(cold).isLoading = false;
-  fleet.Run(16s); // What a load takes.
+  fleet.Run(16s); // The duration of a load.
   EXPECT_GT(CountLoadOrders(fleet, cold), refused);
 }
 
-// Guards against an answer to a load of an earlier term being taken for one to the present load.
-TEST(EngineGroupLoads, AnAnswerToAnEarlierOrderSaysNothingOfALoad)
+// Guards against applying the answer to a load of an earlier term to the current load.
+TEST(EngineGroupLoads, AnAnswerToAnEarlierOrderDoesNotAffectALoad)
 {
   FakeFleet fleet = ServingFleet();
   const std::string cold = AnyMember(fleet, "large");
@@ -60,8 +60,8 @@
   EXPECT_EQ(CountLoadOrders(fleet, cold), ordered);
 }
 
-// Guards against so many loads at once that they slow one another down and complete no group.
-TEST(EngineGroupLoads, NoMoreAtOnceThanTheStoreServes)
+// Guards against so many concurrent loads that they slow one another down and complete no group.
+TEST(EngineGroupLoads, NoMoreConcurrentLoadsThanTheStoreServes)
 {
   ServingDocument document = TwoModelDocument();
   document.services[0].engine->loadsAtOnce = 6;
--- a/tests/unit/engine_groups_safety_test.cpp
+++ b/tests/unit/engine_groups_safety_test.cpp
@@ -17,8 +17,8 @@
 using fakes::ServingFleet;
 using ::testing::IsEmpty;
 
-/// Passes time until group `name` is formed with another head than `head`.
-bool RunUntilSucceeded(FakeFleet& fleet, const std::string& name, const std::string& head)
+/// Advances the time until group `name` is formed with another head than `head`.
+bool RunUntilReplaced(FakeFleet& fleet, const std::string& name, const std::string& head)
 {
   const std::size_t before = fleet.Orders().size();
   for (int i = 0; i < 50; ++i) {
@@ -35,21 +35,21 @@
   return false;
 }
 
-/// A large group that went on under its next epoch, while a cut hides its former head from control.
+/// A large group that continued under its next epoch while its former head can't reach control.
 struct Succession
 {
   std::string formerHead;
   std::vector<InstanceId> members; ///< Of the next epoch, its head first.
 };
 
-Succession HideAHead(FakeFleet& fleet)
+Succession IsolateHead(FakeFleet& fleet)
 {
   Succession succession{ AnyHead(fleet, "large"), {} };
   const InstanceId head(succession.formerHead);
   const std::string member = fleet.At(head.Get()).members.back().Get();
   fleet.failing.insert(head);
   fleet.At(head.Get()).reachesControl = false;
-  EXPECT_TRUE(RunUntilSucceeded(fleet, fleet.At(head.Get()).self.membership.group, head.Get()));
+  EXPECT_TRUE(RunUntilReplaced(fleet, fleet.At(head.Get()).self.membership.group, head.Get()));
   fleet.Run(600ms);
   fleet.failing.clear();
   succession.members = fleet.At(member).members;
@@ -65,8 +65,8 @@
   }
 }
 
-/// Leaves one target of the domain that is in no serving group.
-/// \returns Its name; "" when there is none.
+/// Kills all targets of the domain that are in no serving group, except for one.
+/// \returns The name of that one; empty when there is none.
 std::string KillSparesButOne(FakeFleet& fleet, const FabricDomainId& domain)
 {
   std::set<InstanceId> busy;
@@ -88,17 +88,11 @@
   return spare;
 }
 
-// Symptom: the head of an open group was joined to a second group; its callers' answers stopped.
-// Sequence: a head that control doesn't reach is replaced, and its group goes on under a new epoch;
-// a member of that fails before it opens, so that it is given up; in the same pass the former head,
-// heard again, is taken for free. Cause: the former head was known only as long as its successor
-// stood, since groups were kept by name without their epoch. Log lines that showed it:
-//   19.088 TargetGroupEnded group=g1048578 reason="its head is silent"
-//   19.088 TargetGroupFormed group=g1048578 epoch=3145729 head=i-3ff7
-//   20.187 TargetGroupEnded group=g1048578 reason="a member failed"
-//   20.187 TargetGroupFormed group=g3145731 members=4 (i-1fa8, the former head, is one of them)
-//   20.188 TargetGroupAdopted group=g1048578 head=i-1fa8
-TEST(EngineGroupsSafety, AFormerHeadIsNotForgottenWithItsSuccessor)
+// Guards against tracking groups by name without their epoch. An unreachable head is replaced and
+// its group continues under a new epoch; that epoch is ended before it opens, because a member
+// fails. The former head, which reports again in the same tick, was then considered free and joined
+// to a second group while its own was open.
+TEST(EngineGroupsSafety, AFormerHeadIsTrackedAfterItsSuccessorEnds)
 {
   for (const bool leaderChanges : { false, true }) {
     FakeFleet fleet = ServingFleet();
@@ -107,12 +101,12 @@
     fleet.failing.insert(InstanceId(head));
     fleet.At(head).reachesControl = false;
     fleet.At(spare).reachesControl = false;
-    ASSERT_TRUE(RunUntilSucceeded(fleet, fleet.At(head).self.membership.group, head));
+    ASSERT_TRUE(RunUntilReplaced(fleet, fleet.At(head).self.membership.group, head));
     fleet.Run(200ms); // The others have joined.
     if (leaderChanges) {
       fleet.ChangeLeader(false);
     }
-    // The spare started again and leaves: only the former head could complete another group.
+    // The spare restarts and leaves, so that only the former head could complete another group.
     fleet.Reincarnate(spare, "newcomer");
     fleet.At("newcomer").self.draining = true;
     fleet.failing.clear();
@@ -123,16 +117,16 @@
   }
 }
 
-// Guards against joins of an open group's members once a former epoch's closed head was heard
-// first.
-TEST(EngineGroupsSafety, MembersStayWithTheEpochThatServesWhenItsFormerHeadIsHeardFirst)
+// Guards against joining members of an open group to another one when a closed head of a former
+// epoch reports before them.
+TEST(EngineGroupsSafety, MembersStayInTheServingEpochWhenTheFormerHeadReportsFirst)
 {
   FakeFleet fleet = ServingFleet();
-  const auto [head, members] = HideAHead(fleet);
-  // It took the order to close, though the answer was lost.
+  const auto [head, members] = IsolateHead(fleet);
+  // It accepted the order to close, but the answer was lost.
   fleet.At(head).self.membership.state = wire::MemberState::Ready;
 
-  SECTION("all control processes start anew; the former head is heard before the members")
+  SECTION("all control processes restart; the former head reports before the members")
   {
     SetReachesControl(fleet, members, false);
     fleet.At(head).reachesControl = true;
@@ -152,11 +146,11 @@
   }
 }
 
-// Guards against requests sent to an open head whose members work for the next epoch of its group.
-TEST(EngineGroupsSafety, AnOpenHeadIsGivenUpOnceTheNextEpochOfItsGroupIsHeard)
+// Guards against requests to an open head whose members are in the next epoch of its group.
+TEST(EngineGroupsSafety, AnOpenHeadIsEndedOnceTheNextEpochOfItsGroupReports)
 {
   FakeFleet fleet = ServingFleet();
-  const auto [head, members] = HideAHead(fleet);
+  const auto [head, members] = IsolateHead(fleet);
   SetReachesControl(fleet, members, false);
   fleet.At(head).reachesControl = true;
   fleet.At(head).reportsAt = fleet.now;
@@ -165,7 +159,7 @@
   ASSERT_EQ(fleet.At(head).self.membership.state, wire::MemberState::Open);
   ASSERT_TRUE(fleet.Keeper().ServingHeads().contains(InstanceId(head)));
 
-  SECTION("the members are heard")
+  SECTION("the members report")
   {
     SetReachesControl(fleet, members, true);
     fleet.Run(200ms);
@@ -176,25 +170,20 @@
   }
 }
 
-// Symptom: callers of an open group lose their answers; its members are joined to a second group.
-// Sequence: a target crashes and starts again under another identity at its address; the process
-// that leads starts anew and hears the present identity; then a last word of the former one, held
-// up on its way, arrives. Cause: of two identities of an address the one that this process heard
-// first counted as over, so the present one did. Log lines that showed it:
-//   22.199 TargetChanged target=i-3e19 address=10.3.64.27:8209 (i-4d89 was there before 18 s)
-//   24.986 TargetGroupEnded group=g3145732 reason="a member was restarted" (its head is i-3e19)
-//   24.987 TargetGroupFormed group=g3145739 head=i-4d89
-//   24.990 GroupOrderEnded target=i-4d89 order=join outcome=replaced
-TEST(EngineGroupsSafety, ALateWordOfAFormerIdentityEndsNoGroup)
+// Guards against treating the identity of an address that a process heard of first as the former
+// one. A target crashes and restarts under another identity at its address. A restarted leader
+// receives the announcement of the current identity first, then a delayed one of the former
+// identity. The group of the current one was ended, and its members were joined to a second group.
+TEST(EngineGroupsSafety, ALateReportOfAFormerIdentityEndsNoGroup)
 {
-  for (const bool saysItIsFree : { false, true }) {
+  for (const bool reportsNoGroup : { false, true }) {
     FakeFleet fleet = ServingFleet();
     const std::string former = AnyMember(fleet, "small");
     TargetAnnouncement late = fleet.At(former).self;
     ++late.sequence;
-    late.membership = saysItIsFree ? GroupMembership() : late.membership;
+    late.membership = reportsNoGroup ? GroupMembership() : late.membership;
     fleet.Reincarnate(former, "newcomer");
-    // More is asked than all targets can serve: the newcomer is used.
+    // The demand exceeds the capacity of all targets, so that the newcomer is used.
     fleet.demand["small"] = { 300, 300 * 714.0, 300 * 146.0 };
     fleet.Run(25s);
     ASSERT_FALSE(fleet.At("newcomer").members.empty());
@@ -207,7 +196,7 @@
     fleet.Table().Hear(fleet.now, late);
     for (int i = 0; i < 50; ++i) {
       fleet.Run(100ms);
-      EXPECT_TRUE(fleet.Keeper().ServingHeads().contains(head)) << saysItIsFree << " " << i;
+      EXPECT_TRUE(fleet.Keeper().ServingHeads().contains(head)) << reportsNoGroup << " " << i;
     }
     const std::span<const GroupOrder> orders = std::span(fleet.Orders()).subspan(before);
     EXPECT_TRUE(std::ranges::none_of(
@@ -216,19 +205,16 @@
         return order.kind == GroupOrderKind::kJoin &&
                std::ranges::find(order.members, InstanceId(former)) != order.members.end();
       }))
-      << saysItIsFree;
-    EXPECT_THAT(fleet.Violations(), IsEmpty()) << saysItIsFree;
+      << reportsNoGroup;
+    EXPECT_THAT(fleet.Violations(), IsEmpty()) << reportsNoGroup;
   }
 }
 
-// Symptom: a target was joined to a second group while it was the open head of its own. Sequence: a
-// head takes an order to open but doesn't answer; a member fails, and the group is given up; the
-// head, told to close, says that it isn't open; then it carries out the order to open. Cause: a
-// head that was closed once counted as closed for good, while an order to open it, of this leader
-// or of an earlier one, was still under way. Lines of a played day that led to it:
-//   13.869 order=open of an adopted group, status 202
-//   14.110 order=close status 202; the head reports Closing, then Ready
-//   14.675 the head joins another group, while it serves in its former one
+// Guards against treating a head that was closed once as closed for good while an order to open it,
+// of this leader or of an earlier one, may still be executed. The head accepts an order to open
+// without an answer; a member fails, and the group is ended; the head, ordered to close, answers
+// that it is not open, and opens afterwards. It was joined to a second group while it was open in
+// its own.
 TEST(EngineGroupsSafety, AHeadThatMayOpenLateLeavesItsGroup)
 {
   for (const bool leaderChanges : { false, true }) {
@@ -244,9 +230,9 @@
       head = last != nullptr && last->kind == GroupOrderKind::kOpen ? last->target.Get() : "";
     }
     ASSERT_NE(head, "");
-    fleet.hasTraffic = true; // Loads take their time from now on.
+    fleet.hasTraffic = true; // Loads are no longer instantaneous.
     const std::vector<InstanceId> members = fleet.At(head).members;
-    // None could take the place of a member: once one fails, the head stays where it is.
+    // No target can replace a member: once one fails, the head is not joined to another group.
     for (int i = 1; i <= 5; ++i) {
       const InstanceId name("a" + std::to_string(i));
       if (std::ranges::find(members, name) == members.end()) {
@@ -270,11 +256,11 @@
   }
 }
 
-// Symptom: members of a head that serves are joined to another group. Sequence: a whole group is
-// cut off from control and has no callers for longer than a head stands still; then it is heard
-// again, open. Cause: the members were told to leave, and whether that reached any of them counted
-// nothing: after the time in which a head without a member breaks, its group was over for good.
-TEST(EngineGroupsSafety, AGroupThatNobodyReachedIsNotOver)
+// Guards against releasing a group because its members were ordered to leave, whether or not any of
+// them received the order. A whole group is cut off from control and has no callers for longer than
+// the time in which a stalled head breaks; then it reports again and is open. Its members were
+// joined to another group.
+TEST(EngineGroupsSafety, AnUnreachableGroupIsNotReleased)
 {
   FakeFleet fleet = ServingFleet();
   const std::string head = AnyHead(fleet, "large");
@@ -291,11 +277,11 @@
   EXPECT_EQ(fleet.CountServing("large"), 3U);
 }
 
-// Symptom: the head of an open group is joined to a second one. Sequence: a process that leads asks
-// a target which group it is in, loses the lead, and takes it again after another process formed a
-// group; the answer to its former question arrives, and agrees with the old word that it has of the
-// target. Cause: an answer was taken for what the target is, whenever the question was asked.
-TEST(EngineGroupsSafety, AnAnswerToAQuestionOfAnEarlierTermConfirmsNothing)
+// Guards against treating an answer as current regardless of when the query was sent. A leader
+// queries a target for its group, loses the leadership, and regains it after another process formed
+// a group. The answer to the earlier query matches the outdated report in its table, and the head
+// of an open group was joined to a second one.
+TEST(EngineGroupsSafety, AnAnswerToAQueryOfAnEarlierTermConfirmsNothing)
 {
   FakeFleet fleet = ServingFleet();
   const std::vector<InstanceId> members = fleet.At(AnyHead(fleet, "small")).members;
@@ -318,11 +304,10 @@
   EXPECT_GE(fleet.CountServing("small"), 6U);
 }
 
-// Symptom: a plain service ran a request that nobody had sent. Sequence: a target of it starts
-// again under another identity at its address. Cause: both identities were asked who is there, as
-// targets with engines are; a plain service takes an order for a request. The soak showed it:
-//   "r3-2 ran , which nobody asked"
-TEST(EngineGroupsSafety, PlainServicesAreNotAsked)
+// Guards against querying the identity of a plain service's target, which treats an order as a
+// request and may run it although no caller sent one. The query is triggered by a second identity
+// at the same address.
+TEST(EngineGroupsSafety, PlainServicesAreNotQueried)
 {
   FakeFleet fleet = ServingFleet();
   TargetAnnouncement former;
