--- a/tests/unit/engine_groups_test.cpp
+++ b/tests/unit/engine_groups_test.cpp
@@ -31,7 +31,7 @@
       }
     }
   }
-  SECTION("spares hold weights ready, and no request can reach them")
+  SECTION("spares hold weights and can't receive requests")
   {
     const auto standbys = std::ranges::count_if(fleet.Orders(), [](const GroupOrder& order) {
       return order.kind == GroupOrderKind::kJoin && order.members.size() == 1;
@@ -49,11 +49,10 @@
   }
 }
 
-// Symptom: a group that serves is given up for another model within two seconds of the first
-// request, and the weights that this used up are missed at the next losses. Sequence: by chance the
-// first requests are for one model. Cause: a mean over a second of arrivals was taken for the
-// demand.
-TEST(EngineGroups, NoGroupIsGivenUpForTheFirstSecondsOfDemand)
+// Guards against ending a serving group for another model within the first two seconds of traffic,
+// when the measured demand is mostly random variation. The weight loads used for that would be
+// missing at later losses.
+TEST(EngineGroups, NoGroupIsEndedForTheFirstSecondsOfDemand)
 {
   FakeFleet fleet = ServingFleet();
   const auto before = fleet.Keeper().ServingHeads();
@@ -63,43 +62,42 @@
   for (const auto& [head, model] : before) {
     EXPECT_TRUE(fleet.Keeper().ServingHeads().contains(head)) << head.Get();
   }
-  SECTION("demand that lasts is followed")
+  SECTION("lasting demand is followed")
   {
     fleet.Run(10s);
     EXPECT_GT(fleet.CountServing("large"), 3U);
   }
 }
 
-// Symptom: a domain goes dark, and groups of the other domains close, too; callers of the small
-// model are refused for eight seconds. Sequence: the large group of the dark domain is noticed 0.2
-// s before its small ones. Cause: in between the large model looked short, and took two small
-// groups.
-TEST(EngineGroups, NoGroupIsGivenUpWhileADomainGoesDark)
+// Guards against a takeover between the detections of one domain's losses. The loss of the large
+// group is detected 0.2 s before that of the small ones; taking two small groups of other domains
+// for the large model in between left callers of the small model refused for eight seconds.
+TEST(EngineGroups, NoGroupIsEndedWhileADomainFails)
 {
   FakeFleet fleet = ServingFleet();
   fleet.demand["large"] = { 29, 29 * 1600.0, 29 * 100.0 };
   fleet.demand["small"] = { 60, 60 * 714.0, 60 * 146.0 };
   fleet.Run(2s);
   const auto before = fleet.Keeper().ServingHeads();
-  std::vector<InstanceId> dark;
+  std::vector<InstanceId> failedHeads;
   for (const auto& [head, model] : before) {
     if (fleet.At(head.Get()).self.fabricDomain == FabricDomainId("domain-a")) {
-      dark.insert(model == "large" ? dark.begin() : dark.end(), head);
+      failedHeads.insert(model == "large" ? failedHeads.begin() : failedHeads.end(), head);
     }
   }
   for (int i = 1; i <= 10; ++i) {
     fleet.Kill("a" + std::to_string(i));
   }
-  // Entries complain of the large model's head first.
-  for (const InstanceId& head : dark) {
+  // Entries report failures of the large model's head first.
+  for (const InstanceId& head : failedHeads) {
     fleet.Run(300ms);
     fleet.failing.insert(head);
   }
-  fleet.Run(800ms); // Of the second in which losses settle.
+  fleet.Run(800ms); // Within the settling time of losses, 1 s.
   const auto serving = fleet.Keeper().ServingHeads();
   for (const auto& [head, model] : before) {
-    const bool isDark = std::ranges::find(dark, head) != dark.end();
-    EXPECT_NE(serving.contains(head), isDark) << head.Get();
+    const bool hasFailed = std::ranges::find(failedHeads, head) != failedHeads.end();
+    EXPECT_NE(serving.contains(head), hasFailed) << head.Get();
   }
   EXPECT_THAT(fleet.Violations(), IsEmpty());
 }
@@ -110,9 +108,9 @@
   return std::ranges::count(fleet.Orders(), GroupOrderKind::kProbe, &GroupOrder::kind);
 }
 
-// Symptom: for nine seconds most answers come late or not at all, while a third of the targets is
-// idle or works for nobody. Sequence: some targets become twelve times slower; each group that has
-// one of them runs at its pace. Cause: nobody asked the members which one is slow.
+// Guards against groups that keep running at the pace of a slow member because the members are
+// never probed: with some targets twelve times slower, most answers were late or missing for nine
+// seconds while a third of the targets was idle.
 TEST(EngineGroups, AMemberThatBecomesSlowIsReplaced)
 {
   FakeFleet fleet = ServingFleet();
@@ -133,7 +131,7 @@
       return order.kind == kind && order.target == slow;
     });
   };
-  SECTION("it joins no group while it is slow, and is asked now and then")
+  SECTION("it joins no group while it is slow, and is probed periodically")
   {
     const auto joins = ordersTo(GroupOrderKind::kJoin);
     const auto probes = ordersTo(GroupOrderKind::kProbe);
@@ -142,7 +140,7 @@
     EXPECT_EQ(ordersTo(GroupOrderKind::kJoin), joins);
     EXPECT_GE(ordersTo(GroupOrderKind::kProbe), probes + 5);
   }
-  SECTION("it is asked no more once it is sound")
+  SECTION("it is no longer probed once it is healthy")
   {
     fleet.At(member).pace = 1;
     fleet.Run(3s);
@@ -152,7 +150,7 @@
   }
 }
 
-TEST(EngineGroups, AGroupThatIsSomewhatSlowStaysUntilSoundTargetsCanTakeThePlace)
+TEST(EngineGroups, ASomewhatSlowGroupStaysUntilHealthyTargetsCanReplaceItsSlowMembers)
 {
   FakeFleet fleet(TwoModelDocument());
   fleet.Add("a", 5, "domain-a");
@@ -171,7 +169,7 @@
   fleet.Keeper().OnPace(fleet.now, InstanceId(spare), 12);
   fleet.Run(5s);
   EXPECT_TRUE(fleet.Keeper().ServingHeads().contains(head));
-  SECTION("then it gives way")
+  SECTION("then it is replaced")
   {
     fleet.At(spare).pace = 1;
     fleet.Run(6s);
@@ -183,8 +181,8 @@
   }
 }
 
-// Each question to a member costs the member's time; sound groups must not be asked.
-TEST(EngineGroups, MembersOfSoundGroupsAreNotAsked)
+// Each probe costs the member time, so members of healthy groups must not be probed.
+TEST(EngineGroups, MembersOfHealthyGroupsAreNotProbed)
 {
   FakeFleet fleet = ServingFleet();
   const auto before = CountProbes(fleet);
@@ -192,25 +190,23 @@
   EXPECT_EQ(CountProbes(fleet), before);
 }
 
-// Symptom: the larger model has no group for twelve seconds of a quiet day.
-// Sequence: demand measured over the first seconds swings; the smaller model forms three more
-// groups of all spares; the larger one's members die. Cause: more groups were wanted at little more
-// than half use.
-TEST(EngineGroups, SparesStayForLossesWhileGroupsHaveRoom)
+// Guards against forming more groups of the spares at little more than half utilisation. Demand
+// measured over the first seconds varies; when the smaller model used all spares for it, the larger
+// one had no group for twelve seconds after losses.
+TEST(EngineGroups, SparesAreKeptForLossesWhileGroupsHaveCapacity)
 {
   FakeFleet fleet = ServingFleet();
-  fleet.demand["small"] = { 115, 115 * 714.0, 115 * 146.0 }; // 4.3 groups of work for 6 groups.
+  fleet.demand["small"] = { 115, 115 * 714.0, 115 * 146.0 }; // Work for 4.3 of 6 groups.
   fleet.Run(20s);
   EXPECT_EQ(fleet.CountServing("small"), 6U);
 }
 
-// Symptom: callers are refused for half a minute while warm targets stand idle.
-// Sequence: demand grows after the spares were staged.
-// Cause: a target whose load had ended still counted as loading.
+// Guards against counting a target whose load has ended as loading. Demand grows after the spares
+// were staged; callers were refused for half a minute while warm targets were idle.
 TEST(EngineGroups, MoreGroupsFollowMeasuredDemand)
 {
   FakeFleet fleet = ServingFleet();
-  // 150 prompts of 714 tokens and 146 tokens out each second: 5.3 groups of work for the small
+  // 150 prompts of 714 tokens with 146 output tokens each second: work for 5.3 groups of the small
   // model.
   fleet.demand["small"] = { 150, 150 * 714.0, 150 * 146.0 };
   fleet.Run(20s);
@@ -218,11 +214,10 @@
   EXPECT_THAT(fleet.Violations(), IsEmpty());
 }
 
-// Symptom: a target was joined to a new group while the head of its former one was open.
-// Sequence: the control process that leads restarts; it hears some members of a group before it
-// hears the group's head, and forms new groups of them. Cause: a target whose group the leader did
-// not know was taken for free.
-TEST(EngineGroups, ALeaderThatKnowsNothingTakesNoMemberOfAnOpenGroup)
+// Guards against treating a target whose group is unknown to the leader as free. A restarted leader
+// may receive the heartbeats of some members before that of their head, and would join them to new
+// groups while the head is open.
+TEST(EngineGroups, ALeaderWithoutStateTakesNoMemberOfAnOpenGroup)
 {
   FakeFleet fleet = ServingFleet();
   const std::size_t large = fleet.CountServing("large");
@@ -231,7 +226,7 @@
     fleet.ChangeLeader(true);
     fleet.Run(10s);
   }
-  SECTION("another process leads, which heard everything")
+  SECTION("another process leads, which received all reports")
   {
     fleet.ChangeLeader(false);
     fleet.Run(5s);
@@ -250,11 +245,10 @@
   EXPECT_GE(fleet.CountServing("large"), large);
 }
 
-// Symptom: a group was down for twelve seconds after one member died.
-// Sequence: a member's machine goes dark; the head stands still; spares with the weights stand by.
-// Cause: the group was given up only when its head declared itself broken, and the next one was
-// formed with the dead member, which had been heard 3.6 s ago.
-TEST(EngineGroups, ASpareTakesADeadMembersPlace)
+// Guards against ending a group only when its stalled head reports itself broken, and against
+// forming the next group with the dead member, whose last heartbeat may be 3.6 s old. The group was
+// down for twelve seconds although spares held the weights.
+TEST(EngineGroups, ASpareReplacesADeadMember)
 {
   FakeFleet fleet = ServingFleet();
   const std::string head = AnyHead(fleet, "large");
@@ -267,9 +261,9 @@
   EXPECT_THAT(fleet.Violations(), IsEmpty());
 }
 
-// Symptom: a group of four was down for two seconds longer than its spare needed.
-// Sequence: a member dies; the group is formed anew with the dead member, whose last heartbeat was
-// a second old. Cause: a probe without an answer ended the group, but did not count afterwards.
+// Guards against forming a group with a dead target whose last heartbeat is only a second old. A
+// probe without an answer must count after it ended the group, too; else the group is down for two
+// seconds longer than its spare needs.
 TEST(EngineGroups, ATargetThatAnsweredNoProbeJoinsNoGroup)
 {
   FakeFleet fleet = ServingFleet();
@@ -288,11 +282,10 @@
   EXPECT_EQ(fleet.CountServing("large"), 3U);
 }
 
-// Symptom: two small groups closed for the large model, which never got its group.
-// Sequence: the large model lacks a group; a group that is given up still has work for two seconds;
-// meanwhile the small model forms a group of the free targets that the large one counted on.
-// Cause: targets of a takeover were free until all of them were.
-TEST(EngineGroups, ATakeoverKeepsItsTargetsTogetherUntilAllAreFree)
+// Guards against another model using the free targets of a takeover while its other targets still
+// finish their work for two seconds. Two small groups were closed for the large model, which did
+// not get its group.
+TEST(EngineGroups, ATakeoverReservesItsTargetsUntilAllAreFree)
 {
   FakeFleet fleet = ServingFleet();
   for (int number = 1; number <= 10; ++number) {
@@ -307,16 +300,16 @@
     }
   }
   fleet.Run(14s);
-  // Ten targets are left: as many large groups as small work allows.
+  // Ten targets are left: as many large groups as the work of the small model allows.
   EXPECT_EQ(fleet.CountServing("large"), 2U);
   EXPECT_EQ(fleet.CountServing("small"), 1U);
   EXPECT_THAT(fleet.Violations(), IsEmpty());
 }
 
-// Symptom: nothing was repaired for three seconds after each change of the leader.
-// Sequence: a member dies and the leader with it; the next leader has heard all targets before.
-// Cause: it waited until all targets must have spoken, though each that spoke was certain.
-TEST(EngineGroups, ANewLeaderUsesTargetsAsSoonAsTheyHaveSpoken)
+// Guards against a new leader that waits until all targets must have reported, although each one
+// that has reported is certain. Nothing was repaired for three seconds after each change of the
+// leader.
+TEST(EngineGroups, ANewLeaderUsesTargetsAsSoonAsTheyHaveReported)
 {
   FakeFleet fleet = ServingFleet();
   const std::string head = AnyHead(fleet, "small");
@@ -328,11 +321,10 @@
   EXPECT_THAT(fleet.Violations(), IsEmpty());
 }
 
-// Symptom: a target was joined to a new group while the head of its group was open.
-// Sequence: all control processes are killed at once; the first heartbeat that the new leader's
-// process hears of a member is one that was held up on its way and is older than the group.
-// Cause: a process that has just started took the target's first word for its latest.
-TEST(EngineGroups, AProcessThatJustStartedTrustsNoFirstWord)
+// Guards against a restarted process that treats the first heartbeat of a target as its latest.
+// After a restart of all control processes it may be a delayed one that is older than the target's
+// group; the target would be joined to a new group while its head is open.
+TEST(EngineGroups, ARestartedProcessDoesNotTrustTheFirstReport)
 {
   FakeFleet fleet = ServingFleet();
   fleet.ChangeLeader(true);
@@ -350,10 +342,10 @@
   EXPECT_EQ(fleet.CountServing("large"), 3U);
 }
 
-// Symptom: as before. Sequence: a group goes on with another head; its former head, cut off until
-// then, comes back and says that it is broken; a new leader that knows nothing hears it first.
-// Cause: the group of that name counted as over, and the members of its next epoch as free.
-TEST(EngineGroups, AGroupThatWentOnIsNotOverWithItsFormerHead)
+// Guards against treating the members of a group's next epoch as free because a former head, which
+// was cut off, reports itself broken in an earlier epoch. A leader without state receives that
+// report first.
+TEST(EngineGroups, AContinuedGroupIsNotReleasedWithItsFormerHead)
 {
   FakeFleet fleet = ServingFleet();
   const std::string head = AnyHead(fleet, "large");
@@ -378,9 +370,8 @@
   EXPECT_THAT(fleet.Violations(), IsEmpty());
 }
 
-// Symptom: the members of a head that serves were given to another group.
-// Sequence: a network fault hides a head from control; entries still get its answers.
-// Cause: silence towards control was taken for death.
+// Guards against treating a head that is silent towards control as dead while entries still receive
+// its answers. Its members would be assigned to another group while it serves.
 TEST(EngineGroups, AHeadThatAnswersEntriesKeepsItsGroup)
 {
   FakeFleet fleet = ServingFleet();
@@ -399,7 +390,7 @@
   const std::vector<InstanceId> members = fleet.At(head).members;
   const std::string domain = head.substr(0, 1);
   for (int number = 1; number <= 10; ++number) {
-    // None is left that could take the head's place.
+    // No target is left that could replace the head.
     const InstanceId other(domain + std::to_string(number));
     if (std::ranges::find(members, other) == members.end()) {
       fleet.Kill(other.Get());
@@ -413,13 +404,12 @@
   EXPECT_THAT(fleet.Violations(), IsEmpty());
 }
 
-// Symptom: after the loss of a head three of its members do nothing for seven seconds.
-// Sequence: the head's machine goes dark; a spare with the weights stands by in the domain.
-// Cause: the head might live, and its members were kept until it must have stood still. Under a new
-// epoch of the group they can't work for it, so the group need not wait.
-TEST(EngineGroups, AGroupGoesOnAtOnceWithAnotherHead)
+// Guards against reserving the members of a lost head until it must have stalled, which left three
+// members idle for seven seconds although a spare held the weights. Under a new epoch of the group
+// they can't work for the former head, so the group need not wait.
+TEST(EngineGroups, AGroupContinuesAtOnceWithAnotherHead)
 {
-  SECTION("its machine is dark")
+  SECTION("its machine is down")
   {
     FakeFleet fleet = ServingFleet();
     const std::string head = AnyHead(fleet, "large");
@@ -433,7 +423,7 @@
     EXPECT_FALSE(fleet.Keeper().ServingHeads().contains(InstanceId(head)));
     EXPECT_THAT(fleet.Violations(), IsEmpty());
   }
-  SECTION("it lives, is heard again, and a leader that knows nothing follows")
+  SECTION("it is alive, reports again, and a leader without state follows")
   {
     FakeFleet fleet = ServingFleet();
     const std::string head = AnyHead(fleet, "large");
@@ -451,8 +441,8 @@
   }
 }
 
-// Guards against targets that are gone being counted as targets to form groups of.
-TEST(EngineGroups, TargetsThatAreGoneAreNotCounted)
+// Guards against counting targets that have ended as available for groups.
+TEST(EngineGroups, EndedTargetsAreNotCounted)
 {
   FakeFleet fleet = ServingFleet();
   fleet.demand["large"] = { 20, 20 * 1400.0, 20 * 140.0 };
@@ -468,8 +458,9 @@
   EXPECT_THAT(fleet.Violations(), IsEmpty());
 }
 
-// Guards against a second group in the place of a lost one, of targets that another model lacks.
-TEST(EngineGroups, AGroupThatWasReplacedDoesNotGoOnWithAnotherHead)
+// Guards against forming two groups in place of a lost one, the second from targets that another
+// model lacks.
+TEST(EngineGroups, AReplacedGroupDoesNotContinueWithAnotherHead)
 {
   FakeFleet fleet = ServingFleet();
   const std::size_t before = fleet.CountServing("small");
@@ -484,10 +475,9 @@
   EXPECT_THAT(fleet.Violations(), IsEmpty());
 }
 
-// Symptom: a target was joined to a new group while the head of its former one was open.
-// Sequence: a network fault hides a head from control and from every entry; it lives and is open.
-// Cause: a head that nobody reached was taken for dead, and its members were given away at once.
-TEST(EngineGroups, AHeadThatNobodyReachesMayLive)
+// Guards against treating an unreachable head as dead. A network fault hides the head from control
+// and from all entries while it is open; its members would be joined to a new group at once.
+TEST(EngineGroups, AnUnreachableHeadMayBeAlive)
 {
   FakeFleet fleet = ServingFleet();
   const std::string head = AnyHead(fleet, "large");
@@ -498,11 +488,10 @@
   EXPECT_EQ(fleet.CountServing("large"), 3U);
 }
 
-// Symptom: a target that had restarted was never used again.
-// Sequence: a target crashes and comes back under another identity; a heartbeat of its former life,
-// held up on the way, arrives after that.
-// Cause: who spoke last at an address counted, not who came last.
-TEST(EngineGroups, ALateHeartbeatOfAFormerLifeTakesNothingFromTheNewOne)
+// Guards against deciding by the latest announcement which identity owns an address. A target
+// crashes and restarts under another identity; a delayed heartbeat of the former one arrives
+// afterwards, and the restarted target was never used again.
+TEST(EngineGroups, ALateHeartbeatOfAFormerIdentityDoesNotAffectTheNewOne)
 {
   FakeFleet fleet = ServingFleet();
   const std::string member = AnyMember(fleet, "small");
@@ -511,17 +500,17 @@
   TargetAnnouncement late = fleet.At(member).self;
   ++late.sequence;
   fleet.Table().Hear(fleet.now, late);
-  // More is asked than all targets can serve: each that counts as usable is used.
+  // The demand exceeds the capacity of all targets, so that each usable one is used.
   fleet.demand["small"] = { 300, 300 * 714.0, 300 * 146.0 };
   fleet.Run(25s);
   EXPECT_NE(fleet.At("newcomer").self.membership.group, "");
   EXPECT_THAT(fleet.Violations(), IsEmpty());
 }
 
-// Symptom: a group goes on with a member that knows nothing of it: its head stands still, or it
-// opens without the member. Sequence: a member crashes and starts again under its own name; the
-// first word of the new life arrives. Cause: a life was told by the name alone.
-TEST(EngineGroups, AMemberThatStartsAgainUnderItsNameEndsItsGroup)
+// Guards against identifying an incarnation by the name alone. A member that crashed and restarted
+// under its own name knows nothing of its group: the head stalls, or the group opens without the
+// member.
+TEST(EngineGroups, AMemberThatRestartsUnderItsNameEndsItsGroup)
 {
   SECTION("a member of a serving group")
   {
@@ -570,11 +559,10 @@
   }
 }
 
-// Symptom: the head of an open group was joined to a second one. Sequence: control is cut in two;
-// the side of the former leader hears a target leave one group and lead the next; when the cut
-// heals, what it passed on arrives late, the older word first. Cause: a target's latest known word
-// was taken for what the target is.
-TEST(EngineGroups, AnOldWordOfATargetFreesNobody)
+// Guards against treating the latest known report of a target as its current state. After a
+// partition of control, relayed reports arrive late and out of order; the head of an open group,
+// considered free by an outdated one, was joined to a second group.
+TEST(EngineGroups, AnOutdatedReportFreesNoTarget)
 {
   for (const char* model : { "large", "small" }) {
     FakeFleet fleet = ServingFleet();
@@ -593,7 +581,7 @@
   }
 }
 
-TEST(EngineGroups, ALeavingMemberEndsItsGroupInOrder)
+TEST(EngineGroups, ALeavingMemberEndsItsGroupGracefully)
 {
   FakeFleet fleet = ServingFleet();
   const std::string member = AnyMember(fleet, "large");
@@ -607,10 +595,10 @@
   EXPECT_THAT(fleet.Violations(), IsEmpty());
 }
 
-// Symptom: a target was joined to a new group while the head of its former one was closing.
-// Sequence: a head that drains is told to close; it stops listening and still works on what it has.
-// Cause: a refused connection was taken for the head's death.
-TEST(EngineGroups, ALeavingHeadThatListensNoMoreIsNotDead)
+// Guards against treating a refused connection as the death of a head. A draining head that was
+// ordered to close stops listening but still finishes its work; its members must not be joined to a
+// new group.
+TEST(EngineGroups, ALeavingHeadThatNoLongerListensIsNotDead)
 {
   FakeFleet fleet = ServingFleet();
   const std::string head = AnyHead(fleet, "large");
@@ -625,8 +613,8 @@
   EXPECT_THAT(fleet.Violations(), IsEmpty());
 }
 
-// Symptom: more loads began within five seconds than the weight store allows.
-// Sequence: a whole domain of cold targets arrives under load.
+// Guards against starting more loads within five seconds than the weight store allows, when a whole
+// domain of targets without weights is added under load.
 TEST(EngineGroups, LoadsKeepToTheStoresRate)
 {
   FakeFleet fleet = ServingFleet();
@@ -642,9 +630,9 @@
   EXPECT_LE(stages, 15);
 }
 
-// Symptom: orders of a deposed leader move targets.
-// Sequence: leaders change again and again while members die and come back.
-TEST(EngineGroups, KeepTheirPromisesThroughRandomLosses)
+// Guards against orders of a deposed leader that change targets: leaders change repeatedly while
+// members die and restart.
+TEST(EngineGroups, InvariantsHoldThroughRandomLosses)
 {
   for (unsigned seed = 1; seed <= 20; ++seed) {
     SECTION("seed " + std::to_string(seed))
@@ -669,8 +657,8 @@
   }
 }
 
-// The same with targets that start again under their own names, several at a time.
-TEST(EngineGroups, KeepTheirPromisesThroughRandomRestartsUnderTheSameName)
+// The same with several targets at a time that restart under their own names.
+TEST(EngineGroups, InvariantsHoldThroughRandomRestartsUnderTheSameName)
 {
   for (unsigned seed = 1; seed <= 20; ++seed) {
     SECTION("seed " + std::to_string(seed))
--- a/tests/unit/head_shares_test.cpp
+++ b/tests/unit/head_shares_test.cpp
@@ -46,11 +46,11 @@
   return sum;
 }
 
-// Symptom: with capacity to spare, the slowest class of callers is late (first event p95 760 ms at
-// an aim of 500 ms). Sequence: 52 entries choose among 65 heads, each by what it alone has there.
-// Cause: an even part of a head is half a place, each entry took up to two: 104 requests for 28
-// slots were within the limit, and which head had a queue was a matter of luck.
-TEST(HeadShares, OfManyEntriesAreWholePlacesAtFewHeads)
+// Guards against giving each of many entries an even part of each head. With 52 entries and 65
+// heads that part is half a slot, of which each entry used up to two: 104 requests for 28 slots
+// were within the limit, queues formed at random heads, and the slowest class of callers was late
+// (first event p95 760 ms with a target of 500 ms) although there was spare capacity.
+TEST(HeadShares, OfManyEntriesAreWholeSlotsAtFewHeads)
 {
   const std::vector<EntryDemand> entries = Entries(50);
   const std::vector<HeadCapacity> heads = Heads(45);
@@ -68,7 +68,7 @@
       own += at->failureDomain == entry.failureDomain ? 1 : 0;
     }
   }
-  SECTION("no head is given out more than whole")
+  SECTION("no head is allocated beyond its capacity")
   {
     for (const auto& [head, share] : given) {
       EXPECT_LE(share, 1.001);
@@ -81,7 +81,7 @@
   }
 }
 
-// Few entries have whole places everywhere, and keep using every head by their part.
+// Few entries have whole slots at every head, and use each head according to their part.
 TEST(HeadShares, OfFewEntriesAreTheirPartsOfEveryHead)
 {
   std::vector<EntryDemand> entries = Entries(5);
@@ -100,7 +100,7 @@
   }
 }
 
-TEST(HeadShares, ADomainWithMoreCallersThanHeadsUsesOthers)
+TEST(HeadShares, ADomainWithMoreDemandThanHeadsUsesOthers)
 {
   std::vector<EntryDemand> entries = Entries(50);
   for (EntryDemand& entry : entries) {
@@ -113,8 +113,8 @@
   }
 }
 
-// A head that is lost must not make all entries change theirs: each that does leaves work behind
-// where it has none of its places any more.
+// The loss of one head must not change the shares of all entries: an entry whose shares change
+// leaves work in progress at heads where it has no slots any more.
 TEST(HeadShares, ChangeLittleWhenAHeadIsLost)
 {
   const std::vector<EntryDemand> entries = Entries(50);
@@ -130,7 +130,7 @@
       moved += std::max(0.0, share - (found == former.end() ? 0 : found->second));
     }
   }
-  // One head's worth must move; four more may in its wake, of 44.
+  // The capacity of one head must move; that of up to four more of the 44 heads may move with it.
   EXPECT_LT(moved, 5);
 }
 
--- a/tests/unit/target_relay_test.cpp
+++ b/tests/unit/target_relay_test.cpp
@@ -12,7 +12,7 @@
 using ::testing::ElementsAre;
 using ::testing::IsEmpty;
 
-/// \brief One of three control processes, with the table of what it heard.
+/// \brief One of three control processes, with its target table.
 class RelayWorld : public tests::ControlWorld
 {
 public:
@@ -25,20 +25,20 @@
     }
   }
 
-  void Hear(const std::string& name, std::uint64_t sequence)
+  void Announce(const std::string& name, std::uint64_t sequence)
   {
     TargetAnnouncement announcement;
     announcement.instance = InstanceId(name);
     announcement.address = name + ":8080";
     announcement.sequence = sequence;
-    const bool isNews = targets.Hear(now, announcement) == TargetTable::Change::kState;
-    relay.Note(Context(), announcement.instance, isNews);
+    const bool isUrgent = targets.Hear(now, announcement) == TargetTable::Change::kState;
+    relay.Enqueue(Context(), announcement.instance, isUrgent);
   }
 
   void Leave(const std::string& name)
   {
     targets.Leave(now, InstanceId(name));
-    relay.Note(Context(), InstanceId(name), true);
+    relay.Enqueue(Context(), InstanceId(name), true);
   }
 
   void SetUp(const std::string& name, bool up)
@@ -51,87 +51,87 @@
     }
   }
 
-  /// Who was told of which targets in this tick, by the frames sent.
+  /// The targets in each frame sent in this tick, by the receiving process.
   std::multimap<std::string, std::vector<std::string>> Tick()
   {
     ControlContext context = Context();
     relay.Tick(context, targets);
-    std::multimap<std::string, std::vector<std::string>> told;
+    std::multimap<std::string, std::vector<std::string>> sent;
     for (const FrameOut& frame : TakeFrames()) {
       std::vector<std::string> names;
       for (const auto& heard : frame.envelope->body.AsTargetsHeard()->heard) {
         names.push_back(heard->instance + (heard->left ? " left" : ""));
       }
-      told.emplace(frame.peer.Get(), names);
+      sent.emplace(frame.peer.Get(), names);
     }
-    return told;
+    return sent;
   }
 
   TargetRelay relay;
   TargetTable targets;
 };
 
-// Symptom: control processes spend most of their links and processors on each other. Sequence: 391
-// targets speak about once a second. Cause: each word went to each other process in a frame of its
-// own.
-TEST(TargetRelay, SignsOfLifeOfManyTargetsShareOneFrame)
+// Guards against sending each announcement to each other control process in a frame of its own.
+// With 391 targets that report about once a second, that used most of the processes' links and
+// processors.
+TEST(TargetRelay, HeartbeatsOfManyTargetsShareOneFrame)
 {
   RelayWorld world;
-  world.Hear("i-1", 1);
-  EXPECT_EQ(world.Tick().size(), 2U); // News goes at once.
+  world.Announce("i-1", 1);
+  EXPECT_EQ(world.Tick().size(), 2U); // State changes are sent at once.
   for (std::uint64_t sequence = 2; sequence <= 4; ++sequence) {
-    world.Hear("i-1", sequence);
+    world.Announce("i-1", sequence);
     EXPECT_THAT(world.Tick(), IsEmpty());
     world.now += 20ms;
   }
-  SECTION("after a moment, or with the next news")
+  SECTION("after the batch delay, or with the next state change")
   {
-    world.Hear("i-2", 1);
-    const auto told = world.Tick();
-    ASSERT_EQ(told.size(), 2U);
-    EXPECT_THAT(told.find("control-2")->second, ElementsAre("i-1", "i-2"));
-    world.Hear("i-1", 5);
-    world.now += TargetRelay::kJoinTime;
+    world.Announce("i-2", 1);
+    const auto sent = world.Tick();
+    ASSERT_EQ(sent.size(), 2U);
+    EXPECT_THAT(sent.find("control-2")->second, ElementsAre("i-1", "i-2"));
+    world.Announce("i-1", 5);
+    world.now += TargetRelay::kBatchDelay;
     EXPECT_EQ(world.Tick().size(), 2U);
   }
 }
 
-// Symptom: memory rises while a process is slow. Cause: each heartbeat waited for it by itself.
-TEST(TargetRelay, ASlowProcessIsToldTheLatestOnce)
+// Guards against queueing each heartbeat separately for a slow process, which makes memory grow.
+TEST(TargetRelay, ASlowProcessIsSentOnlyTheLatestState)
 {
   RelayWorld world;
   world.queuedBytes = [](const ProcessId& peer) {
     return peer.Get() == "control-2" ? std::size_t{ 1 } << 20U : 0;
   };
   for (std::uint64_t sequence = 1; sequence <= 50; ++sequence) {
-    world.Hear("i-1", sequence);
+    world.Announce("i-1", sequence);
     EXPECT_EQ(world.Tick().count("control-2"), 0U);
-    world.now += TargetRelay::kJoinTime;
+    world.now += TargetRelay::kBatchDelay;
   }
   world.queuedBytes = {};
-  const auto told = world.Tick();
-  ASSERT_EQ(told.count("control-2"), 1U);
-  EXPECT_THAT(told.find("control-2")->second, ElementsAre("i-1"));
+  const auto sent = world.Tick();
+  ASSERT_EQ(sent.count("control-2"), 1U);
+  EXPECT_THAT(sent.find("control-2")->second, ElementsAre("i-1"));
 }
 
-// Symptom: entries keep a target that said farewell. Sequence: it tells a process whose connection
-// with the leader just broke. Cause: a farewell is said once, and was lost with the connection.
-TEST(TargetRelay, AProcessThatIsConnectedAgainIsToldWhatItMissed)
+// Guards against losing the announcement that a target leaves, which is sent only once. It may
+// reach a process whose connection with the leader just broke; entries would keep the target.
+TEST(TargetRelay, AReconnectedProcessIsSentWhatItMissed)
 {
   RelayWorld world;
-  world.Hear("i-1", 1);
-  world.Hear("i-2", 1);
-  world.Hear("i-silent", 1);
+  world.Announce("i-1", 1);
+  world.Announce("i-2", 1);
+  world.Announce("i-silent", 1);
   world.Tick();
   world.SetUp("control-2", false);
   world.now += 3s;
-  world.Hear("i-2", 2);
+  world.Announce("i-2", 2);
   world.Leave("i-1");
   EXPECT_EQ(world.Tick().count("control-2"), 0U);
   world.SetUp("control-2", true);
-  const auto told = world.Tick();
-  ASSERT_EQ(told.count("control-2"), 1U);
-  EXPECT_THAT(told.find("control-2")->second, ElementsAre("i-1 left", "i-2"));
+  const auto sent = world.Tick();
+  ASSERT_EQ(sent.count("control-2"), 1U);
+  EXPECT_THAT(sent.find("control-2")->second, ElementsAre("i-1 left", "i-2"));
 }
 
 } // namespace
