--- a/include/gooseberrysail/control/admin_api.hpp
+++ b/include/gooseberrysail/control/admin_api.hpp
@@ -9,7 +9,7 @@
 
 namespace gooseberrysail {
 
-/// \brief The operators' HTTP interface: change the catalogue, read what is and what happened.
+/// \brief The operators' HTTP API: changes the catalogue and reads state, history and events.
 class AdminApi
 {
 public:
@@ -32,14 +32,14 @@
 
   void Tick(ControlContext& context, const AdminSources& sources);
 
-  /// \brief From now on calls are pointed elsewhere; open ones are still answered.
+  /// \brief Redirects new calls from now on; open calls are still answered.
   void StopTaking() noexcept { m_stopping = true; }
   [[nodiscard]] std::size_t OpenCalls() const noexcept
   {
     return m_reads.size() + m_writes.size() + m_queries.OpenCalls();
   }
 
-  /// \brief Answers every open call: this process can't tell any more.
+  /// \brief Answers open reads with the leader's address, and open writes with an unknown outcome.
   void OnLeadershipLost(ControlContext& context);
 
 private:
--- a/include/gooseberrysail/control/admin_http.hpp
+++ b/include/gooseberrysail/control/admin_http.hpp
@@ -9,11 +9,11 @@
 #include <string_view>
 #include <vector>
 
-/// \file The form of admin calls and answers.
+/// \file Parsing of admin request targets and formatting of admin answers.
 
 namespace gooseberrysail {
 
-/// \brief The path and the parameters of a request target, percent-decoded.
+/// \brief The percent-decoded path and query parameters of a request target.
 struct AdminTarget
 {
   std::vector<std::string> path; ///< Below /admin/v1.
--- a/include/gooseberrysail/control/admin_queries.hpp
+++ b/include/gooseberrysail/control/admin_queries.hpp
@@ -11,8 +11,8 @@
 
 namespace gooseberrysail {
 
-/// \brief Questions of operators that other processes answer: what became of a request, and the
-/// events of all processes.
+/// \brief Operators' queries that need answers of other processes: the outcome of a request, and
+/// the events of all processes.
 class AdminQueries
 {
 public:
@@ -25,7 +25,8 @@
                         const ProcessId& peer,
                         const wire::TimelineAnswerT& answer);
   void OnCallerGone(ExchangeId exchange);
-  /// \brief Answers with what there is when the time is up.
+  /// \brief After kTimeout, answers request lookups with an error and timelines with the events
+  /// received so far.
   void Tick(ControlContext& context);
 
   [[nodiscard]] std::size_t OpenCalls() const noexcept
@@ -49,7 +50,7 @@
     TimePoint asked{};
     std::set<ProcessId> awaited;
     std::set<ProcessId> answered;
-    std::size_t notAsked = 0;
+    std::size_t notAsked = 0; ///< Connected processes beyond the limit on queried ones.
     std::uint64_t dropped = 0;
     std::size_t bytes = 0;
     bool truncated = false;
--- a/include/gooseberrysail/control/admin_views.hpp
+++ b/include/gooseberrysail/control/admin_views.hpp
@@ -7,11 +7,11 @@
 #include <boost/json/object.hpp>
 #include <cstddef>
 
-/// \file What operators read, as JSON.
+/// \file JSON views of the control state for the admin API.
 
 namespace gooseberrysail {
 
-/// \brief The systems that reads look into.
+/// \brief The components whose state the views show.
 struct AdminSources
 {
   const TargetMembership& membership;
--- a/include/gooseberrysail/control/catalogue_table.hpp
+++ b/include/gooseberrysail/control/catalogue_table.hpp
@@ -17,10 +17,11 @@
 
 namespace gooseberrysail {
 
-/// \brief As `CatalogueWrite.expectedRevision`: write whatever the revision is.
+/// \brief Value of `CatalogueWrite.expectedRevision` that accepts any current revision.
 inline constexpr std::uint64_t kAnyRevision = std::numeric_limits<std::uint64_t>::max();
 
-/// \brief Tells whether a change with a known id asks for the same writes as the first one.
+/// \brief Hash of a change without its time; tells a repeated change from another change that
+/// reuses its id.
 [[nodiscard]] std::string DigestOf(const wire::ChangeCatalogueT& change);
 
 /// \brief The replicated catalogue and the outcomes of its latest changes.
@@ -30,26 +31,27 @@
 public:
   using Key = std::pair<wire::EntryKind, std::string>;
 
-  /// \brief Decides on a change; all its writes take effect, or none.
-  /// \remarks A change whose id is known is not applied again: its first outcome stands.
+  /// \brief Checks a change and applies all its writes or none.
+  /// \remarks A change whose id is known is not applied again and keeps its first outcome.
   void Apply(LogIndex index, const wire::ChangeCatalogueT& change);
 
   /// \brief Log index of the latest change that took effect.
   [[nodiscard]] LogIndex Version() const noexcept { return m_version; }
 
-  /// \brief The entry, or null when there is none or it was removed.
+  /// \returns Null when the entry does not exist or was removed.
   [[nodiscard]] const wire::CatalogueItemT* Find(wire::EntryKind kind, std::string_view name) const;
 
-  /// \brief Every entry by kind and name, removed ones among them (`deleted`).
+  /// \brief All entries by kind and name, including removed ones (`deleted`).
   [[nodiscard]] const std::map<Key, wire::CatalogueItemT>& Items() const noexcept
   {
     return m_items;
   }
 
-  /// \brief What a process at `haveVersion` lacks: the changes since, or the whole catalogue.
+  /// \brief The entries changed after `haveVersion`, or the whole catalogue when removals since
+  /// then may have been pruned.
   [[nodiscard]] wire::ConfigStateT StateSince(LogIndex haveVersion) const;
 
-  /// \returns Null when the id is not known (any more).
+  /// \returns Null when the id is unknown or its change is no longer kept.
   [[nodiscard]] const wire::ChangeRecordT* FindChange(std::string_view changeId) const;
 
   /// \brief The latest changes, oldest first.
@@ -76,11 +78,12 @@
   LogIndex m_version;
   std::map<Key, wire::CatalogueItemT> m_items;
   std::size_t m_itemBytes = 0;
-  /// Removals up to this version are forgotten: who is behind it needs a whole copy.
+  /// Removals up to this version may have been pruned: a process with an older version needs the
+  /// whole catalogue.
   std::uint64_t m_forgottenRemovals = 0;
   std::deque<wire::ChangeRecordT> m_changes;
   std::size_t m_changeBytes = 0;
-  std::uint64_t m_firstChange = 0; ///< Number of the oldest remembered change.
+  std::uint64_t m_firstChange = 0; ///< Sequence number of the oldest kept change.
   std::unordered_map<std::string, std::uint64_t> m_changeById;
 };
 
--- a/include/gooseberrysail/control/claim_service.hpp
+++ b/include/gooseberrysail/control/claim_service.hpp
@@ -7,7 +7,7 @@
 
 namespace gooseberrysail {
 
-/// \brief Commits claims and their outcomes, one batch of each a tick, and answers the entries.
+/// \brief Commits claims and their outcomes in one batch of each per tick, and answers the entries.
 class ClaimService
 {
 public:
@@ -20,8 +20,9 @@
                  const wire::ClaimOutcomeT& outcome);
   void Tick(ControlContext& context);
 
-  /// \brief How long a key is remembered; while the table is over half full, the shorter time.
+  /// \brief How long a key is kept.
   static constexpr std::chrono::hours kRetention{ 24 };
+  /// \brief How long a key is kept while the table is more than half full.
   static constexpr std::chrono::hours kCrowdedRetention{ 1 };
 
 private:
--- a/include/gooseberrysail/control/claim_table.hpp
+++ b/include/gooseberrysail/control/claim_table.hpp
@@ -25,15 +25,15 @@
   std::size_t operator()(const ClaimKey& key) const noexcept;
 };
 
-/// \brief Who may run the work of a key, or what became of it.
+/// \brief The request that holds a key, and the outcome of its work.
 struct ClaimRow
 {
   RequestId holder;
   std::uint64_t bodyHash = 0;
   WallMillis atMillis = 0;
-  std::uint64_t sequence = 0; ///< Order of claiming; expiry follows it.
+  std::uint64_t sequence = 0; ///< Order of the claims; the oldest expire first.
   bool finished = false;
-  bool answerHeld = false; ///< The body is still kept.
+  bool answerHeld = false; ///< The answer's headers and body are still kept.
   wire::ClaimOutcomeT outcome;
 };
 
@@ -41,20 +41,20 @@
 class ClaimTable
 {
 public:
-  /// \brief Grants each claim whose key is free; others change nothing.
-  /// \returns How many were not taken in because the table is full.
+  /// \brief Grants each claim whose key is free; the others change nothing.
+  /// \returns The number of claims rejected because the table is full.
   std::size_t Apply(const wire::ClaimBatchT& batch);
 
-  /// \brief Notes how claimed work ended. Work that never ran gives its key back.
+  /// \brief Records the outcomes of claimed work. The key of work that never ran is released.
   void Apply(const wire::ClaimOutcomeBatchT& batch);
 
-  /// \brief Forgets claims made before a moment.
+  /// \brief Removes the claims made before the command's time limit.
   void Apply(const wire::ExpireClaimsT& command);
 
   [[nodiscard]] const ClaimRow* Find(const ClaimKey& key) const;
   [[nodiscard]] std::size_t Size() const noexcept { return m_claims.size(); }
   [[nodiscard]] std::size_t HeldBytes() const noexcept { return m_heldBytes; }
-  /// \returns When the oldest claim was made; 0 when there is none.
+  /// \returns The time of the oldest claim; 0 when there is none.
   [[nodiscard]] WallMillis OldestMillis() const;
 
   void SaveTo(wire::ControlSnapshotT& snapshot) const;
@@ -72,7 +72,7 @@
   void DropAnswer(ClaimRow& row);
 
   std::unordered_map<ClaimKey, ClaimRow, ClaimKeyHash> m_claims;
-  std::deque<std::pair<std::uint64_t, ClaimKey>> m_byAge;     ///< Oldest first; may name gone ones.
+  std::deque<std::pair<std::uint64_t, ClaimKey>> m_byAge; ///< Oldest first; may hold removed ones.
   std::deque<std::pair<std::uint64_t, ClaimKey>> m_heldByAge; ///< Oldest answer first.
   std::uint64_t m_sequence = 0;
   std::size_t m_heldBytes = 0;
--- a/include/gooseberrysail/control/config_service.hpp
+++ b/include/gooseberrysail/control/config_service.hpp
@@ -11,7 +11,8 @@
 
 namespace gooseberrysail {
 
-/// \brief Gives processes the catalogue, confirms versions, and knows what is in force where.
+/// \brief Distributes the catalogue, confirms versions, and tracks the version in force on each
+/// process.
 class ConfigService
 {
 public:
@@ -22,10 +23,11 @@
                  const ProcessId& peer,
                  const wire::InForceT& report);
 
-  /// \brief Answers confirmed queries, pushes new versions, notes what is in force everywhere.
+  /// \brief Answers confirmed queries, pushes new versions and records which changes are in force
+  /// everywhere.
   void Tick(ControlContext& context);
 
-  /// \brief Forgets what only a leader may know.
+  /// \brief Drops the state of an earlier term of leadership.
   void OnLeaderStart(const ControlContext& context);
 
   struct InForce
@@ -36,11 +38,11 @@
   };
   [[nodiscard]] const InForce* FindInForce(const ProcessId& process) const;
 
-  /// \brief Processes that have not reported a version yet though they must.
+  /// \brief Processes that must report `version` as in force and have not yet.
   [[nodiscard]] std::vector<ProcessId> Lagging(const ControlContext& context,
                                                LogIndex version) const;
 
-  /// \brief When this leader first saw a change in force on every process.
+  /// \brief The time at which this leader first found a version in force on every process.
   [[nodiscard]] std::optional<WallMillis> InForceEverywhereAt(LogIndex version) const;
 
 private:
--- a/include/gooseberrysail/control/context.hpp
+++ b/include/gooseberrysail/control/context.hpp
@@ -15,19 +15,19 @@
 
 namespace gooseberrysail {
 
-/// \brief A process that is, or was lately, connected.
+/// \brief A process that is or was connected.
 struct PeerRow
 {
   std::string role;
   Incarnation incarnation;
   std::string address;
   bool up = false;
-  TimePoint since{}; ///< Up or down since.
+  TimePoint since{}; ///< Time of the latest connect or disconnect.
 };
 
 using PeerTable = std::unordered_map<ProcessId, PeerRow>;
 
-/// \brief Hands commands to the log, each at most once within a retry interval.
+/// \brief Proposes commands to the log; keyed ones at most once within a retry interval.
 class Proposer
 {
 public:
@@ -43,8 +43,8 @@
   }
 
   /// \brief Proposes unless a command with this key was proposed within kRetryAfter.
-  /// \remarks A proposal can be lost with its leader's term, so it is made again; commands that
-  /// are proposed so have no effect when applied a second time.
+  /// \remarks A proposal can be lost when the leader's term ends, so it is repeated. Commands
+  /// proposed this way must have no effect when applied a second time.
   template<class CommandT>
   bool ProposeOnce(TimePoint now, const std::string& key, CommandT command)
   {
@@ -54,6 +54,7 @@
     return Propose(std::move(command));
   }
 
+  /// \brief Removes the keys whose retry interval is over.
   void Forget(TimePoint now);
   void Clear() { m_proposedAt.clear(); }
 
@@ -66,14 +67,14 @@
   std::unordered_map<std::string, TimePoint> m_proposedAt;
 };
 
-/// \brief What the leader's systems see and use during one tick.
+/// \brief State and outputs shared by the components of a control process during one tick.
 struct ControlContext
 {
   TimePoint now;
   WallMillis wallMillis = 0;
   const ControlSettings& settings;
-  /// \brief Control processes: of the settings, or the cluster's members where they join by
-  /// themselves.
+  /// \brief Control processes: those of the settings, or the members of the cluster where the
+  /// settings do not name them.
   const std::vector<EntrySettings::Control>& controls;
   const ReplicationStatus& replication;
   const ControlState& state;
@@ -84,18 +85,17 @@
   /// \brief This process leads and has applied everything that earlier leaders committed.
   bool ready = false;
   std::vector<ControlOutput>& outbox;
-  /// \brief See ControlHooks::queuedBytes; null where nothing waits.
+  /// \brief See ControlHooks::queuedBytes; null where nothing is ever queued.
   const std::function<std::size_t(const ProcessId&)>* queuedBytes = nullptr;
 
-  /// \brief Whether what can be replaced by a later word should be sent to the peer now.
-  /// \remarks What waits in a peer's queue can't be taken back, and a peer that reads slowly would
-  /// be told one old state after the other. Where there is no room, the state is told as it is once
-  /// there is.
+  /// \brief Whether the peer's send queue has room for a state that a later one replaces.
+  /// \remarks Queued messages can't be withdrawn, so a peer that reads slowly would receive one
+  /// outdated state after another. Without room, the sender waits and then sends the current state.
   [[nodiscard]] bool HasRoom(const ProcessId& peer) const;
 
-  /// \brief Whether a quorum followed this leader within a moment before now.
-  /// \remarks A deposed leader that is cut off in silence still believes that it leads; without
-  /// this check it would go on giving orders that contradict its successor's.
+  /// \brief Whether a quorum confirmed this leader within the last second.
+  /// \remarks A deposed leader behind a network partition may not know that it was deposed; without
+  /// this check it would keep sending orders that contradict its successor's.
   [[nodiscard]] bool HasFreshQuorum() const;
 
   [[nodiscard]] bool IsUp(const ProcessId& peer) const;
@@ -108,7 +108,7 @@
   }
 };
 
-/// \brief A question whose answer must not come from a deposed leader's state.
+/// \brief Time and commit index at which a linearizable read was requested.
 struct ReadTicket
 {
   TimePoint asked{};
@@ -117,8 +117,8 @@
 
 [[nodiscard]] ReadTicket TakeTicket(const ControlContext& context);
 
-/// \brief Whether a quorum has confirmed the leader since the question, and all that was committed
-/// then is applied: an answer from the state now is linearizable.
+/// \brief Whether a quorum has confirmed the leader since the read was requested, and everything
+/// committed by then is applied: a read of the current state is then linearizable.
 [[nodiscard]] bool IsConfirmed(const ControlContext& context, const ReadTicket& ticket);
 
 } // namespace gooseberrysail
--- a/include/gooseberrysail/control/control_state.hpp
+++ b/include/gooseberrysail/control/control_state.hpp
@@ -12,32 +12,32 @@
 
 namespace gooseberrysail {
 
-/// \brief The operators' serving document as committed.
+/// \brief The committed serving document.
 struct StoredDocument
 {
-  std::uint64_t version = 0; ///< 0: none yet.
+  std::uint64_t version = 0; ///< 0 when there is none yet.
   std::string text;          ///< As the operator sent it.
 };
 
-/// \brief Everything that the control processes agree on: a pure function of the log.
+/// \brief The replicated state of the control processes: a pure function of the log.
 class ControlState
 {
 public:
-  /// \brief A command's effect, for events.
+  /// \brief The effect of a command, reported in events.
   struct Applied
   {
     wire::CommandBody kind = wire::CommandBody::NONE;
-    std::string refusal; ///< Why it had no effect; "" when it had.
-    GroupId group;       ///< Where it concerns one.
-    VmId vm;             ///< Where it concerns one.
-    std::string reason;  ///< As the command gave it.
+    std::string refusal; ///< Why the command had no effect; "" when it had one.
+    GroupId group;       ///< The group that the command concerns; none for other commands.
+    VmId vm;             ///< The VM that the command concerns; none for other commands.
+    std::string reason;  ///< As given in the command.
   };
 
   /// \brief Applies one committed command.
   Applied Apply(LogIndex index, std::span<const std::uint8_t> command);
 
   [[nodiscard]] std::vector<std::uint8_t> TakeSnapshot() const;
-  /// \remarks With an error the state is as before.
+  /// \remarks The state is unchanged on error.
   [[nodiscard]] Result<void> RestoreSnapshot(std::span<const std::uint8_t> snapshot);
 
   [[nodiscard]] const CatalogueTable& GetCatalogue() const noexcept { return m_catalogue; }
@@ -45,7 +45,8 @@
   [[nodiscard]] const ClaimTable& GetClaims() const noexcept { return m_claims; }
   [[nodiscard]] const StoredDocument& GetDocument() const noexcept { return m_document; }
   [[nodiscard]] LogIndex Index() const noexcept { return m_index; }
-  /// \brief The latest term whose leader started; what earlier leaders committed is applied.
+  /// \brief The latest term whose LeaderStart command is applied; everything that earlier leaders
+  /// committed is applied too.
   [[nodiscard]] Term StartedTerm() const noexcept { return m_startedTerm; }
 
 private:
@@ -60,7 +61,7 @@
   StoredDocument m_document;
 };
 
-/// \brief A command's bytes for the log.
+/// \brief Serializes a command for the log.
 template<class CommandT>
 [[nodiscard]] std::vector<std::uint8_t> EncodeCommand(CommandT body)
 {
--- a/include/gooseberrysail/control/document_service.hpp
+++ b/include/gooseberrysail/control/document_service.hpp
@@ -9,7 +9,7 @@
 
 namespace gooseberrysail {
 
-/// \brief Answers operators who write and read the serving document; leader only.
+/// \brief Handles operators' writes and reads of the serving document on the leader.
 class DocumentService
 {
 public:
@@ -23,10 +23,10 @@
   void OnGet(const ControlContext& context, ExchangeId exchange);
   void OnCallerGone(ExchangeId exchange);
 
-  /// \brief Answers what can be answered now.
+  /// \brief Answers the calls that are committed, confirmed or timed out.
   void Tick(ControlContext& context, const Respond& respond);
 
-  /// \brief This process leads no more: nobody here can tell how open calls end.
+  /// \brief Answers all open calls with an error, as their outcome is not known here any more.
   void OnLeadershipLost(const Respond& respond);
 
   [[nodiscard]] std::size_t OpenCalls() const noexcept { return m_puts.size() + m_reads.size(); }
--- a/include/gooseberrysail/control/membership.hpp
+++ b/include/gooseberrysail/control/membership.hpp
@@ -11,7 +11,7 @@
 
 namespace gooseberrysail {
 
-/// \brief What the leader heard of a VM's agent; not replicated.
+/// \brief The latest announcement of a VM's agent; not replicated.
 struct VmLive
 {
   ProcessId process;
@@ -23,7 +23,7 @@
   Epoch reportedEpoch;
 };
 
-/// \brief What the leader heard of a group and told its members; not replicated.
+/// \brief A group's latest report and the progress of the orders to its members; not replicated.
 struct GroupLive
 {
   TimePoint firstSeen{};
@@ -34,7 +34,7 @@
   std::vector<VmId> missing;
   std::uint32_t running = 0;
   std::uint32_t queued = 0;
-  TimePoint lastGrant{}; ///< When the latest lease was granted; zero when this leader granted none.
+  TimePoint lastGrant{}; ///< Time of the latest lease; zero when this leader granted none.
   std::optional<TimePoint> brokenSince;
   std::unordered_set<VmId> accepted;
   std::unordered_set<VmId> released;
@@ -42,7 +42,7 @@
   std::optional<TimePoint> drainSince;
 };
 
-/// \brief Hears agents and their groups, grants leases, gives orders and frees VMs.
+/// \brief Tracks agents and their groups, grants leases, sends orders and frees VMs.
 class TargetMembership
 {
 public:
@@ -64,22 +64,23 @@
   [[nodiscard]] const VmLive* FindVm(const VmId& vm) const;
   [[nodiscard]] const GroupLive* FindGroup(GroupId group) const;
 
-  /// \brief The moment from which no head can hold a lease of the group, on this leader's clock.
+  /// \brief The time on this leader's clock from which no head can hold a lease of the group.
   [[nodiscard]] TimePoint LeaseEnd(const ControlContext& context, GroupId group) const;
 
-  /// \brief Whether the group may get work: its head reported it ready, and lately.
+  /// \brief Whether the group may get work: its head reported it ready within kReportTimeout.
   [[nodiscard]] bool IsServing(const ControlContext& context, const GroupRow& row) const;
 
-  /// \brief Heard of lately, directly or through its head.
+  /// \brief Whether the VM's agent announced itself, or its head reported it present, recently.
   [[nodiscard]] bool IsReachable(const ControlContext& context, const VmRow& row) const;
 
-  /// \brief Whether the VM shall get no further work.
+  /// \brief Whether the VM must not get further work.
   [[nodiscard]] bool IsLeaving(const ControlContext& context, const VmId& vm) const;
 
-  /// \brief Whether enough was heard since the start of this leader to judge who is silent.
+  /// \brief Whether a missing report means that a group is gone: every group has reported to this
+  /// leader, or kReportTimeout has passed since its election.
   [[nodiscard]] bool HasHeardAll(const ControlContext& context) const;
 
-  /// \brief Counts what was seen to change: a connection, a group's readiness, a missing member.
+  /// \brief Number of observed changes: of connections, of readiness, of missing members.
   [[nodiscard]] std::uint64_t Observations() const noexcept { return m_observations; }
 
   static constexpr Duration kReportTimeout = std::chrono::seconds(3);
@@ -113,7 +114,7 @@
   std::unordered_map<VmId, VmLive> m_vms;
   std::unordered_map<ProcessId, VmId> m_vmOfProcess;
   std::unordered_map<GroupId, GroupLive> m_groups;
-  std::unordered_set<VmId> m_leaving; ///< Whose agents were told to stop.
+  std::unordered_set<VmId> m_leaving; ///< VMs whose agents announced that they are leaving.
   std::uint64_t m_tendedRevision = 0;
   std::uint64_t m_observations = 0;
   std::uint64_t m_tendedObservations = 0;
--- a/include/gooseberrysail/control/outside_api.hpp
+++ b/include/gooseberrysail/control/outside_api.hpp
@@ -10,8 +10,8 @@
 #include <string>
 #include <variant>
 
-/// \file How targets and operators outside the system talk to control: typed calls and answers, and
-/// the hooks that translate them from and to HTTP.
+/// \file The API of control for targets and operators outside the system: typed calls and answers,
+/// and the hooks that translate them from and to HTTP.
 
 namespace gooseberrysail {
 
@@ -21,7 +21,7 @@
   std::string text;
 };
 
-/// \brief An operator reads the newest serving document back.
+/// \brief An operator reads the newest serving document.
 struct GetDocumentCall
 {};
 
@@ -31,16 +31,16 @@
   TargetAnnouncement announcement;
 };
 
-/// \brief A target goes away for good.
+/// \brief A target leaves permanently.
 struct LeaveCall
 {
   InstanceId instance;
 };
 
-/// \brief A call to this interface that can't be understood.
+/// \brief A call to this API that can't be parsed.
 struct MalformedCall
 {
-  std::string caller; ///< Whom it names; "" for none.
+  std::string caller; ///< The caller that it names; "" for none.
   std::string reason;
 };
 
@@ -50,21 +50,21 @@
 enum class OutsideStatus
 {
   kDone,
-  kInvalid,     ///< Never acceptable.
+  kInvalid,     ///< Invalid; a retry fails too.
   kConflict,    ///< Another document has this version.
-  kUnavailable, ///< Not known, or not now; ask again, also another process.
-  kElsewhere,   ///< The leader answers this.
+  kUnavailable, ///< Outcome unknown or not possible now; retry with this or another process.
+  kElsewhere,   ///< Only the leader answers this call.
 };
 
 struct OutsideAnswer
 {
   OutsideStatus status = OutsideStatus::kDone;
-  std::string text;          ///< kDone of a read: the document.
-  std::string reason;        ///< Otherwise: for people.
-  std::string leaderAddress; ///< kElsewhere: the leader's peer address, "ip:port".
+  std::string text;          ///< The document, for a read with kDone.
+  std::string reason;        ///< Readable reason of any other status.
+  std::string leaderAddress; ///< The leader's peer address, "ip:port", for kElsewhere.
 };
 
-/// \brief Translates between HTTP and the types above; all set, or none.
+/// \brief Hooks that translate between HTTP and the types above; either all are set or none.
 struct OutsideApi
 {
   /// \returns None for a request that belongs to another interface of the process.
@@ -72,7 +72,7 @@
   std::function<HttpAnswerOut(ExchangeId, const OutsideAnswer&)> encode;
   std::function<TargetCallOut(ExchangeId, const GroupOrder&)> encodeOrder;
   std::function<OrderOutcome(unsigned status)> decodeOrderStatus;
-  /// \brief A target's answer to a probe; empty where it can't be read.
+  /// \brief Parses a target's answer to a probe; empty where it can't be parsed.
   std::function<TargetReport(std::string_view body)> decodeReport;
   DocumentReader readDocument;
 
--- a/include/gooseberrysail/control/refused_calls.hpp
+++ b/include/gooseberrysail/control/refused_calls.hpp
@@ -9,16 +9,17 @@
 
 namespace gooseberrysail {
 
-/// \brief Reports calls of targets and operators that were refused, at a bounded rate.
-/// \remarks Anybody may call. A line for each call would let one writer fill the log; a line a
-/// second with the number of calls keeps the count exact.
+/// \brief Reports refused calls of targets and operators at a bounded rate.
+/// \remarks Anyone can send such calls, so one log line per call would let a single caller fill the
+/// log. One line a second with the number of calls keeps the count exact.
 class RefusedCalls
 {
 public:
-  /// \brief Counts a call; `caller` is whom it named, "" for none.
+  /// \brief Counts a call; `caller` is the name given in the call, "" for none.
   void Note(std::string caller, std::string reason);
 
-  /// \brief What to report now, if anything: the latest call and how many came since the last time.
+  /// \returns The latest call and the number of calls since the last report; none while the
+  /// interval runs or when there were no calls.
   [[nodiscard]] std::optional<EventOut> TakeReport(TimePoint now);
 
   static constexpr Duration kInterval = std::chrono::seconds(1);
--- a/include/gooseberrysail/control/request_relay.hpp
+++ b/include/gooseberrysail/control/request_relay.hpp
@@ -7,17 +7,17 @@
 
 namespace gooseberrysail {
 
-/// \brief Passes one entry's question about a request on to the entry that took it, and the answer
-/// back: entries have no connections with each other.
+/// \brief Forwards an entry's query about a request to the entry that accepted the request, and
+/// returns the answer. Entries are not connected to each other.
 class RequestRelay
 {
 public:
   void OnQuery(ControlContext& context, const ProcessId& asker, const wire::RequestQueryT& query);
 
-  /// \returns False when the answer is not to a relayed question.
+  /// \returns False when the answer does not belong to a relayed query.
   bool OnAnswer(ControlContext& context, const ProcessId& peer, const wire::RequestAnswerT& answer);
 
-  /// \brief Forgets questions that were not answered in time; the asker has its own timeout.
+  /// \brief Drops queries that were not answered in time; the asking entry has its own timeout.
   void Tick(const ControlContext& context);
 
   static constexpr Duration kTimeout = std::chrono::seconds(3);
@@ -28,7 +28,7 @@
   {
     ProcessId asker;
     ProcessId holder;
-    std::uint64_t nonce = 0; ///< The asker's own.
+    std::uint64_t nonce = 0; ///< Of the asking entry's query.
     TimePoint asked{};
   };
 
--- a/include/gooseberrysail/roles/control_role.hpp
+++ b/include/gooseberrysail/roles/control_role.hpp
@@ -17,17 +17,17 @@
 
 namespace gooseberrysail {
 
-/// \brief What the role needs to know of the replicated log at a tick.
+/// \brief State of the replicated log at a tick.
 struct ReplicationStatus
 {
   bool leader = false;
   Term term;
   LogIndex committed;
   LogIndex applied;
-  ProcessId leaderHint;           ///< Whom to ask instead; none when unknown.
-  std::vector<ProcessId> members; ///< Of the cluster, as far as this process knows.
-  /// \brief The leader heard a quorum for everything asked up to this moment: a read of the applied
-  /// state is linearizable for requests received before it.
+  ProcessId leaderHint;           ///< The leader as last known; none when unknown.
+  std::vector<ProcessId> members; ///< Of the cluster, as known to this process.
+  /// \brief Time up to which a quorum has confirmed the leader: a read of the applied state is
+  /// linearizable for requests received before it.
   TimePoint quorumHeardAt{};
 };
 
@@ -37,34 +37,37 @@
   Incarnation incarnation;
   std::string address;
   FailureDomainId failureDomain;
-  std::vector<EntrySettings::Control> controls; ///< Every voter, this one among them.
+  std::vector<EntrySettings::Control> controls; ///< Every voter, including this process.
   std::string operatorTokenHash;                ///< Hex SHA-256 of the operators' bearer token.
   Duration groupLease = std::chrono::seconds(4);
-  /// \brief Clock rates may differ by this share; leases are waited out that much longer.
+  /// \brief Maximum relative difference of clock rates; the wait for the end of a lease is longer
+  /// by this share.
   double clockDrift = 0.01;
   EngineGroupsSettings engineGroups;
-  std::size_t routesPerEntry = 32; ///< Candidates of one catalogue entry that one entry is told of.
+  std::size_t routesPerEntry = 32; ///< Routes of one catalogue entry sent to one entry process.
 };
 
 struct ControlHooks
 {
   RoleHooks role;
-  /// \brief The peer address of a control process that the settings do not name; unset where they
-  /// name all.
+  /// \brief Returns the peer address of a control process; unset where the settings name all
+  /// control processes.
   std::function<std::string(const ProcessId&)> addressOf;
-  /// \brief Hands a command to the replicated log; false when this process does not lead.
-  /// \remarks Accepted is not committed: the command counts once Apply is called with it.
+  /// \brief Proposes a command to the replicated log; false when this process does not lead.
+  /// \remarks An accepted command is not yet committed: it takes effect once Apply is called with
+  /// it.
   std::function<bool(std::vector<std::uint8_t> command)> propose;
-  /// \brief Decides which groups to form and give up; a PlacementPlanner when empty.
+  /// \brief Decides which groups to form and to dissolve; a PlacementPlanner when empty.
   std::function<std::vector<PlannerAction>(TimePoint now, const PlannerInput& input)> plan;
-  /// \brief How much waits to be sent to a peer, in bytes; unset where nothing ever waits.
+  /// \brief Bytes queued for sending to a peer; unset where nothing is ever queued.
   std::function<std::size_t(const ProcessId&)> queuedBytes = {};
   /// \brief Translates the calls of targets and operators outside the system; unset when there are
   /// none.
   OutsideApi outside;
 };
 
-/// \brief The control process's decisions: catalogue, members, groups, leases, claims. No I/O.
+/// \brief Decision logic of a control process: catalogue, members, groups, leases and claims. Does
+/// no I/O.
 class ControlRole
 {
 public:
@@ -76,13 +79,13 @@
   /// \brief Applies a committed command (wire::Command bytes); same order on every voter.
   void Apply(LogIndex index, Term term, std::span<const std::uint8_t> command);
 
-  /// \brief The whole applied state, for the log's snapshots.
+  /// \brief Serializes the whole applied state for a snapshot of the log.
   [[nodiscard]] std::vector<std::uint8_t> TakeSnapshot() const;
 
-  /// \brief Replaces the state by a snapshot's.
+  /// \brief Replaces the state by that of a snapshot.
   [[nodiscard]] Result<void> RestoreSnapshot(std::span<const std::uint8_t> snapshot);
 
-  /// \brief Takes in what arrived and appends what must go out.
+  /// \brief Processes the inputs and appends the outputs to `outbox`.
   void Tick(TimePoint now,
             const ReplicationStatus& replication,
             std::span<const ControlInput> inbox,
--- a/src/control/catalogue_table.cpp
+++ b/src/control/catalogue_table.cpp
@@ -55,7 +55,8 @@
   return std::to_string(XXH3_64bits(builder.GetBufferPointer(), builder.GetSize()));
 }
 
-/// \brief Whether a change may take effect; if not, why, and the entries that stand against it.
+/// \brief Result of checking a change: the reason for a refusal, and the current entries whose
+/// revisions conflict with it.
 struct CatalogueTable::Verdict
 {
   std::string refusal;
@@ -87,8 +88,8 @@
     if (!written.emplace(item.kind, item.name).second) {
       verdict.Refuse(Title(item) + " is written twice in one change", nullptr);
     }
-    // Two operators who read the same revision would otherwise overwrite one another: the later
-    // write undoes the earlier one, and its author is told that all went well.
+    // Without this check, of two operators who read the same revision the later would overwrite the
+    // earlier one's write, which was already acknowledged.
     if (write->expectedRevision != kAnyRevision && write->expectedRevision != revision) {
       verdict.Refuse(Title(item) + " has revision " + std::to_string(revision) + ", not " +
                        std::to_string(write->expectedRevision),
@@ -108,7 +109,8 @@
     return verdict;
   }
 
-  // What must be unique over the whole catalogue, checked on the state after the change.
+  // Check names and tokens that must be unique in the whole catalogue on the state after the
+  // change.
   std::map<Key, const wire::CatalogueItemT*> after;
   for (const auto& [key, item] : m_items) {
     if (!item.deleted) {
@@ -150,8 +152,8 @@
 {
   const Key key(write.item->kind, write.item->name);
   const auto found = m_items.find(key);
-  // A removed entry's revision is kept, so that a number read before the removal doesn't fit the
-  // entry that is created afterwards.
+  // The revision continues after a removal, so that a revision read before the removal doesn't
+  // match an entry created later under the same name.
   const std::uint64_t revision = found == m_items.end() ? 0 : found->second.revision;
   if (found != m_items.end()) {
     m_itemBytes -= BytesOf(found->second);
@@ -172,8 +174,8 @@
 void CatalogueTable::Apply(LogIndex index, const wire::ChangeCatalogueT& change)
 {
   if (FindChange(change.changeId) != nullptr) {
-    // The operator's answer was lost and the change sent again. Applied twice it could undo what
-    // another operator wrote in between.
+    // The operator repeats a change after a lost answer. Applying it again could undo a change that
+    // another operator made in between.
     return;
   }
   wire::ChangeRecordT record;
@@ -237,7 +239,8 @@
 {
   wire::ConfigStateT state;
   state.version = m_version.Get();
-  // A version above ours can't come from this log; the receiver ignores what is not newer.
+  // A version newer than m_version is not from this log; the receiver ignores versions that are not
+  // newer than its own.
   const bool whole = haveVersion.IsNone() || haveVersion.Get() < m_forgottenRemovals;
   state.fromVersion = whole ? 0 : haveVersion.Get();
   for (const auto& [key, item] : m_items) {
@@ -270,7 +273,8 @@
 {
   *this = CatalogueTable();
   m_version = LogIndex(snapshot.catalogueVersion);
-  // Which removals the sender had forgotten is unknown; a whole copy is always right.
+  // The snapshot doesn't tell which removals were pruned; sending the whole catalogue is always
+  // correct.
   m_forgottenRemovals = snapshot.catalogueVersion;
   for (const auto& item : snapshot.items) {
     m_itemBytes += BytesOf(*item);
--- a/src/control/change_request.cpp
+++ b/src/control/change_request.cpp
@@ -47,7 +47,8 @@
   return std::string(text->data(), text->size());
 }
 
-/// \brief Absent and null take any revision; 0 means that the entry must not exist yet.
+/// \brief Parses `expectedRevision`: absent or null accepts any revision, 0 requires that the entry
+/// does not exist.
 std::optional<std::uint64_t> ReadRevision(const json::object& write)
 {
   const json::value* value = write.if_contains("expectedRevision");
@@ -73,7 +74,7 @@
   }
 }
 
-/// \brief The entry to remove needs no specification: its kind and name are enough.
+/// \brief Parses the kind and name of an entry to remove; a specification is not needed.
 Result<wire::CatalogueItemT> ReadRemovedEntry(const json::value& entry)
 {
   const json::object* object = entry.if_object();
--- a/src/control/change_request.hpp
+++ b/src/control/change_request.hpp
@@ -7,8 +7,8 @@
 
 namespace gooseberrysail::impl {
 
-/// \brief Reads the body of POST /admin/v1/catalogue.
-/// \returns The change, with canonical entries; or all faults of all its writes at once.
+/// \brief Parses the body of POST /admin/v1/catalogue.
+/// \returns The change with canonical entries, or one error that lists all faults of all writes.
 [[nodiscard]] Result<wire::ChangeCatalogueT> ParseChange(std::string_view body);
 
 } // namespace gooseberrysail::impl
--- a/src/control/claim_service.cpp
+++ b/src/control/claim_service.cpp
@@ -33,7 +33,7 @@
   return Incarnation(value);
 }
 
-/// \brief Whether the entry life that held the claim is over: its outcome can't come any more.
+/// \brief Whether the entry that held the claim has restarted, so that its outcome will not arrive.
 bool IsHolderGone(const ControlContext& context, const RequestId& holder)
 {
   const auto peer = context.peers.find(EntryOf(holder));
@@ -62,7 +62,7 @@
         reply.headers.push_back(std::make_unique<wire::HeaderT>(*header));
       }
     } else {
-      reply.status = 0; // The outcome is known, the answer is not kept any more.
+      reply.status = 0; // The outcome is known, but the answer is no longer kept.
     }
   } else if (row.holder.Get() == request.request) {
     reply.state = wire::ClaimState::Granted;
@@ -89,7 +89,7 @@
   const bool badKey = request.key.empty() || request.key.size() > kMaxKeyBytes ||
                       request.workspace.size() > kMaxKeyBytes || request.request.empty();
   if (badKey || m_waitingClaims.size() >= kMaxWaiting) {
-    return; // No answer: the entry tells its caller not-run when its timeout ends.
+    return; // Without an answer, the entry answers its caller not-run after its timeout.
   }
   m_waitingClaims.push_back(WaitingClaim{ peer, request, context.now });
   if (context.state.GetClaims().Find(KeyOf(request)) == nullptr) {
@@ -147,8 +147,8 @@
 
 void ClaimService::AnswerClaims(ControlContext& context)
 {
-  // An answer is told from the committed state only: a grant that is not committed could be given
-  // a second time by the next leader.
+  // Replies come from committed state only: the next leader could grant an uncommitted claim to
+  // another request.
   std::erase_if(m_waitingClaims, [&](const WaitingClaim& waiting) {
     const ClaimRow* row = context.state.GetClaims().Find(KeyOf(waiting.request));
     if (row != nullptr) {
@@ -171,9 +171,9 @@
   std::erase_if(m_waitingOutcomes, [&](const WaitingOutcome& waiting) {
     const ClaimRow* row =
       context.state.GetClaims().Find(ClaimKey{ waiting.ack.workspace, waiting.ack.key });
-    // Whether the key was given back or belongs to another may be told only by a leader that is
-    // sure to know the newest claims. A deposed one would acknowledge, the entry forget, and the
-    // claim stay running for good.
+    // Only a confirmed leader knows that the key was released or belongs to another request. If a
+    // deposed leader acknowledged the outcome, the entry would stop sending it, and the claim would
+    // stay in the running state.
     const bool holds = row != nullptr && row->holder.Get() == waiting.ack.request;
     const bool settled = holds ? row->finished : IsConfirmed(context, waiting.ticket);
     if (settled) {
--- a/src/control/claim_table.cpp
+++ b/src/control/claim_table.cpp
@@ -19,8 +19,8 @@
     if (m_claims.contains(key)) {
       continue;
     }
-    // Dropping an old claim to make room would let its work run a second time, so a full table
-    // takes no new ones: the caller is refused, and nothing ran.
+    // Evicting an old claim would allow its work to run a second time, so a full table rejects new
+    // claims: the caller is refused before any work runs.
     if (m_claims.size() >= kMaxClaims) {
       ++refused;
       continue;
@@ -52,7 +52,7 @@
     const auto found = m_claims.find(key);
     const bool holds = found != m_claims.end() && found->second.holder.Get() == outcome->request;
     if (!holds || found->second.finished) {
-      continue; // Sent again after a lost acknowledgement, or from one who never held it.
+      continue; // A repeat after a lost acknowledgement, or not from the holder.
     }
     if (outcome->ran) {
       Finish(key, found->second, *outcome);
--- a/src/control/config_service.cpp
+++ b/src/control/config_service.cpp
@@ -57,9 +57,10 @@
 
 void ConfigService::AnswerQueries(ControlContext& context)
 {
-  // An answer confirms that no newer version was committed when the question was asked. A leader
-  // that was deposed without noticing can't know that: its answer would keep alive a copy that
-  // its successor has changed. So each answer waits until a quorum confirmed the leader.
+  // An answer confirms that no newer version was committed when the query arrived. A leader that is
+  // not aware of being deposed can't confirm that: its answer would keep an outdated copy in use
+  // after its successor has changed the catalogue. So each answer waits until a quorum has
+  // confirmed the leader.
   while (!m_waiting.empty() && IsConfirmed(context, m_waiting.front().ticket)) {
     const Waiting waiting = m_waiting.front();
     m_waiting.pop_front();
@@ -79,9 +80,9 @@
   if (version <= m_pushed) {
     return;
   }
-  // Nonce 0 answers no question: it brings the change at once but confirms nothing. Only entries
-  // are told so; agents see the new version with their next lease or beat and ask, which spares
-  // the leader a frame to every target VM.
+  // Nonce 0 belongs to no query: the message delivers the change at once but confirms nothing. It
+  // goes to entries only. Agents see the new version in their next lease grant or heartbeat and
+  // query it, which saves the leader a frame to every target VM.
   wire::ConfigStateT state = context.state.GetCatalogue().StateSince(m_pushed);
   state.leaderTerm = context.replication.term.Get();
   const auto envelope = MakeEnvelope(std::move(state));
@@ -101,8 +102,8 @@
 
 bool ConfigService::MustReport(const ControlContext& context, const PeerRow& peer, Duration limit)
 {
-  // A process that is cut off stops relying on its copy within the confirmation limit, so after
-  // that it holds back no change.
+  // A disconnected process stops using its copy within the confirmation limit, so after that it no
+  // longer delays a change.
   return TakesConfiguration(peer) && (peer.up || context.now - peer.since < limit);
 }
 
@@ -142,7 +143,7 @@
       continue;
     }
     if (!m_everywhereAt.emplace(LogIndex(change->index), context.wallMillis).second) {
-      break; // Noted before, and with it every earlier one.
+      break; // Already recorded, as are all earlier changes.
     }
     if (m_everywhereAt.size() >= kMaxForceTimes) {
       m_everywhereAt.erase(m_everywhereAt.begin());
--- a/src/control/context.cpp
+++ b/src/control/context.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 constexpr Duration kFreshQuorum = std::chrono::seconds(1);
-/// Beyond what one write takes, more in the queue only makes it older when it arrives.
+/// About what one write to the socket takes; a longer queue only delays newer state.
 constexpr std::size_t kQueueRoomBytes = 64 * 1024;
 
 } // namespace
--- a/src/control/control_role.cpp
+++ b/src/control/control_role.cpp
@@ -64,7 +64,7 @@
   std::vector<EntrySettings::Control> controls; ///< See ControlContext::controls.
   ControlHooks hooks;
   ControlState state;
-  Catalogue catalogue; ///< Typed copy of the committed one.
+  Catalogue catalogue; ///< Typed copy of the committed catalogue.
   PeerTable peers;
   Proposer proposer;
 
@@ -138,7 +138,7 @@
 {
   const auto& changes = state.GetCatalogue().Changes();
   if (changes.empty() || changes.back().index != index.Get()) {
-    return; // A change sent again.
+    return; // A repeated change.
   }
   const wire::ChangeRecordT& change = changes.back();
   const EventNumber number =
@@ -159,7 +159,7 @@
     return;
   }
   if (catalogue.Version() > state.GetCatalogue().Version()) {
-    catalogue = Catalogue(); // A snapshot of another log; only tests restore one that is older.
+    catalogue = Catalogue(); // An older snapshot was restored, which only tests do.
   }
   const Result<bool> applied =
     catalogue.Apply(state.GetCatalogue().StateSince(catalogue.Version()));
@@ -257,7 +257,8 @@
   if (leadingTerm.IsNone()) {
     return;
   }
-  // Until its first command is applied a new leader's state may lack what was committed before.
+  // Until its LeaderStart command is applied, a new leader may not have applied everything that was
+  // committed before.
   context.ready = state.StartedTerm() == leadingTerm;
   const bool due =
     startProposedAt == TimePoint{} || context.now - startProposedAt >= Proposer::kRetryAfter;
@@ -289,7 +290,7 @@
 {
   const auto found = peers.find(input.peer);
   if (found == peers.end() || found->second.incarnation != input.incarnation) {
-    return; // Of an earlier life of the process.
+    return; // A connection of an earlier incarnation of the process.
   }
   found->second.up = false;
   found->second.since = context.now;
@@ -302,7 +303,7 @@
 {
   const wire::BodyUnion& body = input.envelope->body;
   if (body.type == wire::Body::Announce) {
-    // Followers listen too, so that one that becomes leader knows who is there.
+    // Followers record announcements too, so that a new leader knows the present agents.
     membership.OnAnnounce(context, input.peer, *body.AsAnnounce());
   } else if (body.type == wire::Body::InForce) {
     config.OnInForce(context, input.peer, *body.AsInForce());
@@ -354,7 +355,7 @@
       admin.OnTimelineAnswer(context, peer, *body.AsTimelineAnswer());
       break;
     default:
-      break; // Not for this role; the shell passes all frames on.
+      break; // Not for this role; the shell forwards all frames.
   }
 }
 
--- a/src/control/control_state.cpp
+++ b/src/control/control_state.cpp
@@ -76,8 +76,8 @@
   return "a command of an unknown kind";
 }
 
-// Two operators may send documents at once, and an older one may be sent again: the order of the
-// log decides, and what is in force never goes back.
+// Two operators may send documents concurrently, and an older document may be sent again. The log
+// decides their order, and the version in force never decreases.
 std::string ControlState::Put(const wire::PutDocumentT& put)
 {
   if (put.version <= m_document.version) {
--- a/src/control/document_service.cpp
+++ b/src/control/document_service.cpp
@@ -10,9 +10,9 @@
 
 using namespace std::chrono_literals;
 
-/// Callers turn to another process after a second without an answer.
+/// Callers try another process after one second without an answer.
 constexpr Duration kAnswerWithin = 950ms;
-/// Open calls, so that a flood of them can't fill the memory.
+/// Limits the memory that open calls take.
 constexpr std::size_t kMaxOpenCalls = 64;
 
 OutsideAnswer Unavailable(std::string reason)
@@ -58,8 +58,8 @@
   m_puts.push_back(std::move(put));
 }
 
-// What is applied is committed: a majority has synced it, and no loss that the installation bears
-// takes it back. So an acknowledgement rests on the applied state alone.
+// An applied document is committed: a majority has synced it to disk, so it survives every failure
+// that the installation tolerates. The applied state alone is enough to acknowledge it.
 bool DocumentService::Settle(ControlContext& context, const Put& put, const Respond& respond)
 {
   const StoredDocument& stored = context.state.GetDocument();
--- a/src/control/membership.cpp
+++ b/src/control/membership.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// \brief Timers of groups may run late by this; news are tended at once.
+/// \brief Maximum delay of group timers; observed changes are processed in the next tick.
 constexpr Duration kTendInterval = std::chrono::milliseconds(250);
 constexpr Duration kSweepInterval = std::chrono::seconds(10);
 constexpr Duration kForgetVmAfter = std::chrono::hours(1);
@@ -43,14 +43,14 @@
   return record;
 }
 
-/// \brief Whether the peer is the agent that speaks for the VM.
+/// \brief Whether the peer is the recorded agent of the VM.
 bool SpeaksFor(const ControlContext& context, const ProcessId& peer, const VmId& vm)
 {
   const VmRow* row = context.state.GetGroups().FindVm(vm);
   return row != nullptr && row->record.process == peer.Get();
 }
 
-/// \brief The longest that a draining group's work may take.
+/// \brief Time limit for the remaining work of a draining group.
 Duration DrainGrace(const ControlContext& context, const EntryName& entry)
 {
   if (const ModelSpec* model = context.catalogue.FindModel(entry)) {
@@ -66,7 +66,7 @@
 
 void TargetMembership::OnLeaderStart(const ControlContext&)
 {
-  // What an earlier term of leadership heard and granted may be long out of date.
+  // Reports and grants of an earlier term of leadership may be out of date.
   m_groups.clear();
   m_waiting.clear();
 }
@@ -92,8 +92,8 @@
   const bool otherAlive =
     !live.process.IsNone() && live.process != peer && live.connected && context.IsUp(live.process);
   if (otherAlive) {
-    // Two agents were configured for one VM. Taking both in turn would let each believe that it
-    // holds the VM's group; the first one stays until it goes.
+    // Two agents are configured for one VM. Accepting both in turn would assign the VM's group to
+    // each of them, so the first one is kept until it disconnects.
     context.outbox.emplace_back(MakeEvent(
       EventNumber::kVmAnnouncedTwice,
       { { "vm", vm.Get() }, { "holder", live.process.Get() }, { "refused", peer.Get() } }));
@@ -132,7 +132,7 @@
   }
   const auto group = m_groups.find(row->group);
   if (live.reportedGroup != row->group && group != m_groups.end()) {
-    // The agent was restarted and forgot its group: it is told again.
+    // The agent has restarted without its group: send the assignment again.
     group->second.accepted.erase(vm);
   }
   const GroupRow* reported = context.state.GetGroups().FindGroup(live.reportedGroup);
@@ -208,10 +208,10 @@
 
 void TargetMembership::AnswerReports(ControlContext& context)
 {
-  // A lease granted by a leader that was deposed without noticing would outlive the wait of its
-  // successor, and a VM would be in two groups. So a grant, too, waits for the quorum: a leader
-  // that a quorum confirmed after the report came in can't have had a successor before, and the
-  // holder counts from before it sent the report.
+  // A lease granted by a leader that is not aware of being deposed could outlive the time that its
+  // successor waits, and a VM would be in two groups. So a grant waits for a quorum: a leader that
+  // a quorum confirmed after the report arrived had no successor by then, and the holder measures
+  // its lease from before it sent the report.
   while (!m_waiting.empty() && IsConfirmed(context, m_waiting.front().ticket)) {
     const WaitingReport waiting = std::move(m_waiting.front());
     m_waiting.pop_front();
@@ -234,7 +234,7 @@
 
 TimePoint TargetMembership::LeaseEnd(const ControlContext& context, GroupId group) const
 {
-  // A predecessor may have granted a lease up to the moment at which this leader was elected.
+  // An earlier leader may have granted a lease up to the election of this leader.
   TimePoint latest = context.leaderSince;
   const auto found = m_groups.find(group);
   if (found != m_groups.end()) {
@@ -428,8 +428,8 @@
 void TargetMembership::TendDissolved(ControlContext& context, const GroupRow& row, GroupLive& live)
 {
   const bool leaseEnded = context.now >= LeaseEnd(context, row.group);
-  // The head goes first: while it may still serve, a member that is given away would be in two
-  // groups. The head counts a member as present for up to the member timeout after its last beat.
+  // The head is released first: a member freed while the head may still serve would be in two
+  // groups. The head counts a member as present until the member timeout after its last heartbeat.
   const bool headDone = leaseEnded || live.released.contains(row.head);
   const bool sendNow = context.now >= live.nextOrders;
   if (sendNow) {
--- a/src/control/request_relay.cpp
+++ b/src/control/request_relay.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-// The operators' questions count their nonces from one; a set top bit keeps the two apart.
+// Nonces of operators' queries count up from one; the top bit marks those of relayed queries.
 constexpr std::uint64_t kRelayed = std::uint64_t{ 1 } << 63U;
 
 } // namespace
@@ -15,7 +15,7 @@
 {
   const ProcessId holder = EntryOf(RequestId(query.request));
   const bool reachable = !holder.IsNone() && holder != asker && context.IsUp(holder);
-  // Unanswered, the asker says that the outcome is not known here, which is the truth.
+  // Without an answer, the asking entry reports that the outcome is not known, which is correct.
   if (!reachable || m_questions.size() >= kMaxQuestions) {
     return;
   }
--- a/src/control/serving_feed.cpp
+++ b/src/control/serving_feed.cpp
@@ -11,20 +11,20 @@
 
 using namespace std::chrono_literals;
 
-/// An entry asks every 500 ms; after this many without a word it is not counted.
+/// An entry queries every 500 ms; one without a query for this long is removed.
 constexpr Duration kEntryGone = 3s;
-/// One whose connection broke dials anew with its next question; after two that did not come its
-/// callers have gone elsewhere.
+/// A disconnected entry reconnects with its next query; after two missed queries its callers are
+/// taken to use other entries.
 constexpr Duration kReconnectTime = 1s;
-/// Long enough to smooth Poisson arrivals of some 10 requests a second, short enough to follow a
-/// burst within a few seconds.
+/// Long enough to smooth Poisson arrivals of about 10 requests a second, and short enough to follow
+/// a burst within a few seconds.
 constexpr double kDemandMemorySeconds = 3;
-/// Smaller differences are within the scatter of Poisson arrivals over kDemandMemorySeconds.
+/// Smaller differences are within the variation of Poisson arrivals over kDemandMemorySeconds.
 constexpr double kPartChange = 0.04;
-/// An entry that had few requests lately keeps room for this much of an even part.
+/// An entry with few recent requests keeps at least this fraction of an even part.
 constexpr double kLeastPart = 0.4;
 
-/// Of a model's requests, or of a head's slots.
+/// Whether parts of models' requests, or shares of heads' slots, differ by at least kPartChange.
 template<class Key>
 bool Differ(const std::map<Key, double>& left, const std::map<Key, double>& right)
 {
@@ -95,10 +95,10 @@
   }
 }
 
-// Frames of one connection arrive in order or not at all, so what was sent on it counts as had: an
-// entry's question may have left before it arrived, and the document sent once for each question
-// would fill a slow link with copies. An entry that restarted, or whose connection broke, starts
-// anew.
+// Frames of one connection arrive in order or not at all, so state sent on it counts as received. A
+// query may have been sent before that state arrived, and a document sent again for each such query
+// would fill a slow link with copies. After a restart or a reconnect of the entry, everything is
+// sent again.
 void ServingFeed::NoteHave(const ControlContext& context,
                            Entry& entry,
                            const wire::ServingQueryT& query) const
@@ -112,8 +112,8 @@
   supplied.targets = isLost ? targets : std::max(supplied.targets, targets);
 }
 
-// Its callers are still there, and were they forgotten, models would seem to have none and the
-// heads be divided without them.
+// The demand of a disconnected entry is kept: its callers are still there, and without them models
+// would appear unused and the heads would be divided among the other entries.
 void ServingFeed::OnPeerDown(const ProcessId& process)
 {
   const auto found = m_entries.find(process);
@@ -147,9 +147,10 @@
   }
 }
 
-// A first division goes out once all targets and entries are known: from entries that use more
-// heads than this leader has heard of, a part would take the others. Later ones follow heads at
-// once, since a head that is in nobody's share gets little work, and callers by and by.
+// The first shares are sent once all targets and entries are known: entries may use heads that this
+// leader does not know yet, and shares without these would stop their use. Later, shares are
+// updated at once when heads change, since a head in no entry's share gets little work, and at an
+// interval as demand changes.
 void ServingFeed::FollowHeads(TimePoint now, const std::map<std::string, ModelDemand>& demand)
 {
   const bool isDue = !m_isDivided || now >= m_nextDivide;
@@ -209,8 +210,9 @@
   }
 }
 
-// A whole list for each row that changes would make what is sent grow with entries x targets x
-// changes, and fill the leader's link and memory.
+// Sending the whole list for each changed row would take traffic proportional to entries x targets
+// x changes, which saturates the leader's link and fills its memory. So changes that are not urgent
+// are batched.
 bool ServingFeed::IsDueTargets(const ControlContext& context, const Entry& entry) const
 {
   const bool mayBeTold = m_isWhole || !entry.knowsTargets;
@@ -221,7 +223,7 @@
   return isUrgent || context.now - entry.supplied.at >= kJoinTime;
 }
 
-// The document is sent whole: at 500 routes it has some 120 KB, which an entry reads in about a
+// The document is sent whole: with 500 routes it has about 120 KB, which an entry parses in about a
 // millisecond.
 void ServingFeed::Supply(ControlContext& context,
                          const ProcessId& process,
@@ -328,8 +330,8 @@
                              static_cast<double>(demand.outputTokens) };
   const double seconds = std::chrono::duration<double>(now - rate.at).count();
   if (!fresh && seconds > 0 && counted.requests >= rate.counted.requests) {
-    // What came before the first count is not known, and counts nothing: a new leader that took it
-    // for no work would close groups that are needed.
+    // The time before the first count is left out of the average: a new leader that treated it as
+    // time without requests would close groups that are needed.
     rate.seenSeconds += seconds;
     const double weight = (1 - std::exp(-seconds / kDemandMemorySeconds)) /
                           (1 - std::exp(-rate.seenSeconds / kDemandMemorySeconds));
--- a/tests/support/control_cluster.hpp
+++ b/tests/support/control_cluster.hpp
@@ -18,7 +18,7 @@
 #include <utility>
 #include <vector>
 
-/// \file Control roles over one scripted log, for tests without I/O.
+/// \file Control roles that share one simulated log, for tests without I/O.
 
 namespace gooseberrysail::test {
 
@@ -27,7 +27,8 @@
 
 inline constexpr const char* kOperatorToken = "operator-secret";
 
-/// \brief A log that one control at a time may append to. Commits at once unless held back.
+/// \brief A simulated log for one leader at a time. Commits proposals at once unless `holdBack` is
+/// set.
 class ScriptedLog
 {
 public:
@@ -38,7 +39,7 @@
   };
   std::vector<Entry> entries; ///< Committed, from index 1.
   std::vector<Entry> waiting; ///< Accepted, not committed.
-  bool holdBack = false;      ///< Leave proposals uncommitted.
+  bool holdBack = false;      ///< Leaves proposals uncommitted.
   [[nodiscard]] LogIndex Committed() const { return LogIndex(entries.size()); }
   void Commit()
   {
@@ -49,7 +50,7 @@
   }
 };
 
-/// \brief One control process on the scripted log.
+/// \brief One control process that uses a ScriptedLog.
 class ControlNode
 {
 public:
@@ -61,7 +62,7 @@
     Restart();
   }
 
-  /// \brief Starts anew: replays the log from its beginning, or from a snapshot.
+  /// \brief Restarts the process: replays the log from its beginning, or from a snapshot.
   void Restart(std::optional<std::vector<std::uint8_t>> snapshot = std::nullopt,
                LogIndex snapshotIndex = LogIndex())
   {
@@ -73,7 +74,7 @@
         return false;
       }
       if (cutOff) {
-        lost.push_back(std::move(command)); // Appended to its own log only; never commits.
+        lost.push_back(std::move(command)); // Only in the leader's own log; never committed.
         return true;
       }
       m_log->waiting.push_back({ term, std::move(command) });
@@ -93,7 +94,7 @@
     }
   }
 
-  /// \brief Applies what is committed, then ticks.
+  /// \brief Applies all committed commands, then ticks.
   std::vector<ControlOutput> Tick(std::vector<ControlInput> inbox = {})
   {
     while (!cutOff && applied < m_log->Committed()) {
@@ -119,7 +120,8 @@
     return outbox;
   }
 
-  /// \brief Ticks on for a while and gathers everything that went out.
+  /// \brief Ticks for the given duration.
+  /// \returns All outputs.
   std::vector<ControlOutput> Run(Duration duration)
   {
     std::vector<ControlOutput> all;
@@ -142,7 +144,7 @@
 
   TimePoint now{ seconds(100) };
   bool leader = false;
-  bool cutOff = false; ///< Reaches peers, but no other control process, and doesn't notice.
+  bool cutOff = false; ///< Unnoticed partition: connected to peers but not to control processes.
   bool refuseProposals = false;
   Term term;
   ProcessId leaderHint;
@@ -255,7 +257,7 @@
   return request;
 }
 
-/// \brief The messages of one kind, with whom they went to.
+/// \brief The sent messages of one type, each with its receiver.
 template<class MessageT>
 std::vector<std::pair<std::string, MessageT>> Sent(const std::vector<ControlOutput>& outbox)
 {
@@ -277,7 +279,7 @@
   boost::json::object body;
 };
 
-/// \brief The answer of an exchange, if it was given.
+/// \brief The answer to an exchange; none when it was not answered.
 inline std::optional<Answer> AnswerOf(const std::vector<ControlOutput>& outbox,
                                       std::uint64_t exchange)
 {
--- a/tests/support/control_world.hpp
+++ b/tests/support/control_world.hpp
@@ -10,8 +10,8 @@
 
 namespace gooseberrysail::tests {
 
-/// \brief What the systems of a control process see in one tick: an empty state, a log that takes
-/// every command, no peers but those added.
+/// \brief Fixture with a ControlContext of one tick: an empty state, a log that accepts every
+/// command, and no peers except those that a test adds.
 class ControlWorld
 {
 public:
@@ -21,7 +21,7 @@
              peers, m_proposer, {},       ready,    outbox,      &queuedBytes };
   }
 
-  /// The frames of the outbox, which is empty afterwards.
+  /// \brief Empties the outbox and returns its frames.
   std::vector<FrameOut> TakeFrames()
   {
     std::vector<FrameOut> frames;
@@ -40,7 +40,7 @@
   std::vector<EntrySettings::Control> controls;
   PeerTable peers;
   bool ready = true;
-  std::function<std::size_t(const ProcessId&)> queuedBytes; ///< Unset: nothing ever waits.
+  std::function<std::size_t(const ProcessId&)> queuedBytes; ///< Unset when nothing is ever queued.
 
 private:
   ControlState m_state;
--- a/tests/support/feed_world.hpp
+++ b/tests/support/feed_world.hpp
@@ -11,11 +11,12 @@
 
 namespace gooseberrysail::tests {
 
-/// \brief A feed on a leader with an empty state, asked by entries.
+/// \brief Fixture with the ServingFeed of a leader whose state is empty; entries query it.
 class FeedWorld : public ControlWorld
 {
 public:
-  /// An entry's question with what it has counted so far, of a model with 100 tokens a request.
+  /// \brief An entry's query with its total number of requests for a model; each has 100 prompt
+  /// tokens.
   wire::ServingQueryT Query(std::uint64_t requests) const
   {
     wire::ServingQueryT query;
@@ -32,10 +33,10 @@
   {
     ControlContext context = Context();
     feed.OnQuery(context, ProcessId(entry), query);
-    feed.Tick(context); // As a control process does once it has taken in what arrived.
+    feed.Tick(context); // A control process ticks the feed after its inputs, too.
   }
 
-  /// What an entry saw of a head.
+  /// \brief Sends an entry's report about a head.
   void Tell(const std::string& entry, std::uint32_t answeredAgoMillis, bool isFailing)
   {
     wire::ServingQueryT query;
@@ -53,7 +54,8 @@
     feed.Tick(context);
   }
 
-  /// The part of the model's callers that the entry was last told; none when it was told nothing.
+  /// \brief The part of the model's requests that was last sent to the entry; none when none was
+  /// sent.
   [[nodiscard]] std::optional<float> ToldPart(const std::string& entry) const
   {
     std::optional<float> part;
--- a/tests/unit/control_catalogue_test.cpp
+++ b/tests/unit/control_catalogue_test.cpp
@@ -15,7 +15,7 @@
 
   OneControl() { control.Lead(1); }
 
-  /// \brief Calls and ticks until the call is answered.
+  /// \brief Sends a call and ticks until it is answered.
   Answer Call(const std::string& method, const std::string& target, const std::string& body = "")
   {
     const std::uint64_t exchange = ++m_exchange;
@@ -58,9 +58,9 @@
   EXPECT_EQ(test.Call("GET", "/admin/v1/catalogue/model/other").status, 404U);
 }
 
-// Symptom: an operator's change is gone although the answer was "done".
-// Sequence: two operators read revision 1; both write; the second write overwrites the first.
-// Cause: writes that don't state what they were based on, or a check that is not in the log.
+// Guards against lost updates: two operators read revision 1 and both write, and the second write
+// overwrites the first, which was already acknowledged. This happens if writes don't name the
+// revision that they are based on, or if it is not checked when the log is applied.
 TEST(ControlCatalogue, OfTwoOperatorsWithEqualRevisionsExactlyOneWins)
 {
   OneControl test;
@@ -91,9 +91,9 @@
   EXPECT_EQ(now.body.at("revision").to_number<int>(), 2);
 }
 
-// Symptom: a change that was sent again after a lost answer undoes a later change.
-// Sequence: A's change commits, its answer is lost; B changes the entry; A sends again.
-// Cause: applying by content instead of remembering the change's id and first outcome.
+// Guards against a repeated change that undoes a later one: A's change commits but its answer is
+// lost, B changes the entry, and A sends its change again. This happens if the change id and its
+// first outcome are not recorded.
 TEST(ControlCatalogue, AResentChangeTakesEffectOnceAndGetsItsFirstOutcome)
 {
   OneControl test;
@@ -239,10 +239,9 @@
   }
 }
 
-// Symptom: a process goes on relying on a copy that operators changed long ago.
-// Sequence: the leader is cut off from the other controls in silence; a new leader commits a
-// change; the process asks the old leader, which confirms its old version.
-// Cause: a leader that answers from its own state without asking a quorum.
+// Guards against the confirmation of an outdated catalogue: the leader is partitioned from the
+// other control processes without noticing, a new leader commits a change, and the old leader
+// confirms the old version. This happens if a leader answers from its own state without a quorum.
 TEST(ControlCatalogue, ALeaderWithoutQuorumConfirmsNothing)
 {
   OneControl test;
--- a/tests/unit/control_membership_test.cpp
+++ b/tests/unit/control_membership_test.cpp
@@ -13,7 +13,7 @@
 
 const std::vector<std::string> kVms{ "vm-1", "vm-2", "vm-3", "vm-4" };
 
-/// \brief Forms one group of every usable free VM as soon as there are four.
+/// \brief Forms one group as soon as four free and usable VMs exist.
 std::vector<PlannerAction> FormOfFour(TimePoint, const PlannerInput& input)
 {
   FormGroupAction form{ EntryName("hire-assist"), "v1", {} };
@@ -26,7 +26,7 @@
                                   : std::vector<PlannerAction>{};
 }
 
-/// \brief Controls over one log, four engine VMs and an entry connected to each.
+/// \brief Two control processes with one log; four engine VMs and an entry are connected to each.
 struct Fleet
 {
   std::shared_ptr<ScriptedLog> log = std::make_shared<ScriptedLog>();
@@ -60,7 +60,7 @@
     }
   }
 
-  /// \returns The first group, formed by the first control.
+  /// \returns The first group, formed by the first control process.
   std::uint64_t Form()
   {
     const auto assigns = Sent<wire::AssignT>(first.Run(seconds(1)));
@@ -81,7 +81,7 @@
     }
   }
 
-  /// \brief Runs on while the head reports each second.
+  /// \brief Runs for some seconds while the head reports once a second.
   std::vector<ControlOutput> Serve(ControlNode& node, std::uint64_t group, int forSeconds)
   {
     std::vector<ControlOutput> all;
@@ -177,12 +177,10 @@
   }
 }
 
-// Symptom: two heads serve with the same VM, and answers come from an engine that loads another
-// model's weights.
-// Sequence: a leader proposes a group, loses its lead before the commit, and its proposal is
-// committed by the next leader; that one, not knowing of it yet, proposed another group of the
-// same VMs.
-// Cause: checking that VMs are free in the proposer's view only.
+// Guards against two heads that serve with the same VM, which could answer while it loads another
+// model's weights. A leader proposes a group and loses leadership before the commit; the next
+// leader commits that proposal, but has already proposed another group of the same VMs. This
+// happens if only the proposer checks that the VMs are free.
 TEST(ControlMembership, NoVmJoinsTwoGroupsThroughAChangeOfLeaderMidAssignment)
 {
   Fleet fleet;
@@ -220,10 +218,10 @@
   }
 }
 
-// Symptom: a head goes on serving with members that its successor group already uses.
-// Sequence: the leader is cut off from the other controls in silence and still hears the head;
-// it grants a lease after its successor has waited out the longest one it knew of.
-// Cause: granting without knowing whether a quorum still follows.
+// Guards against a head that serves with members of a newer group: the leader is partitioned from
+// the other control processes without noticing, still receives the head's reports, and grants a
+// lease after its successor has waited for the end of the longest lease that it knew of. This
+// happens if a lease is granted without a quorum.
 TEST(ControlMembership, ALeaderWithoutQuorumGrantsNoLeaseAndGivesNoOrders)
 {
   Fleet fleet;
@@ -239,9 +237,9 @@
   EXPECT_THAT(Sent<wire::RoutesUpdateT>(outbox), IsEmpty());
 }
 
-// Symptom: a VM joins a new group while the old group's head still serves with it.
-// Sequence: a group's head is cut off or frozen; the group is dissolved and its VMs given away.
-// Cause: freeing by time alone, or counting the lease from the wrong moment.
+// Guards against a VM that joins a new group while the head of its old group still serves with it:
+// the head is disconnected or frozen, and the group is dissolved and its VMs are reassigned. This
+// happens if VMs are freed after a fixed time, or if the lease is measured from the wrong time.
 TEST(ControlMembership, AVmIsFreedOnlyAfterItsReleaseOrTheCertainEndOfTheLease)
 {
   Fleet fleet;
@@ -328,10 +326,9 @@
   EXPECT_TRUE(state.GetGroups().Groups().empty());
 }
 
-// Symptom: right after a change of leader a VM is in two groups.
-// Sequence: the old leader grants a lease and dies; the new one, which granted none, dissolves the
-// group and frees its VMs at once.
-// Cause: taking "I granted nothing" for "nobody holds a lease".
+// Guards against a VM in two groups after a change of leader: the old leader grants a lease and
+// fails; the new leader, which has granted none, dissolves the group and frees its VMs at once.
+// This happens if a new leader assumes that no lease exists because it granted none itself.
 TEST(ControlMembership, ANewLeaderWaitsOutLeasesThatItCantAccountFor)
 {
   Fleet fleet;
@@ -356,10 +353,10 @@
   EXPECT_EQ(FreedVms(fleet.second.Run(seconds(1))).size(), 4U);
 }
 
-// Symptom: a process is told that an old version is the newest, or a lease is refused to a group
-// that exists, right after a change of leader.
-// Sequence: the new leader has the committed commands in its log, but has not applied them yet.
-// Cause: taking the election for knowledge of what was committed.
+// Guards against answers from an outdated state after a change of leader: an old version is
+// confirmed as the newest, or a lease is refused to an existing group. The new leader has the
+// committed commands in its log but has not applied them yet. This happens if it answers as soon as
+// it is elected.
 TEST(ControlMembership, ANewLeaderAnswersNothingBeforeItAppliedWhatWasCommitted)
 {
   Fleet fleet;
@@ -390,9 +387,9 @@
   }
 }
 
-// Symptom: every caller is refused for seconds after a change of leader although all groups serve.
-// Sequence: the new leader hears the entries before the heads and tells them that no group serves.
-// Cause: taking "not heard yet" for "gone".
+// Guards against callers refused for seconds after a change of leader although all groups serve:
+// the entries connect to the new leader before the heads do, and it removes all their routes. This
+// happens if a group without a report yet is treated as gone.
 TEST(ControlMembership, ANewLeaderTakesNoRouteAwayBeforeItHeardTheHeads)
 {
   Fleet fleet;
@@ -416,9 +413,9 @@
   }
 }
 
-// Symptom: a target that is being taken away gets new work, or its work is cut.
-// Sequence: an operator marks the target, or its agent is told to stop, under load.
-// Cause: freeing the group before its head has finished.
+// Guards against new work for a target that is being removed, and against aborting its running
+// work. An operator marks the target as draining, or its agent is stopped, under load. Work is
+// aborted if the group is freed before its head has finished.
 TEST(ControlMembership, ALeavingTargetDrainsItsGroup)
 {
   for (const bool byCatalogue : { true, false }) {
@@ -483,11 +480,11 @@
   }
 }
 
-// Symptom: after a dark fabric domain is back, its groups never serve again or serve twice.
-// Sequence: all agents of a domain vanish; the group's lease ends; the planner gives the group up
-// and its VMs are free, but unreachable; the domain comes back and its agents announce the old
-// group.
-// Cause: agents that are not told to drop what is gone, or free VMs used while they are dark.
+// Guards against groups that never serve again, or serve twice, after a failed fabric domain
+// recovers. All agents of a domain disconnect, the group's lease ends, the planner dissolves the
+// group, and its VMs are free but unreachable; then the agents reconnect and announce the old
+// group. The failure occurs if they are not told to release a dissolved group, or if unreachable
+// VMs are used.
 TEST(ControlMembership, AFabricDomainGoesDarkAndComesBack)
 {
   Fleet fleet;
@@ -530,9 +527,9 @@
   }
 }
 
-// Symptom: a group is given up although it serves.
-// Sequence: one member can't reach control, but its head beats with it.
-// Cause: judging a member by its own connection only.
+// Guards against dissolving a group that serves: one member can't reach control, but exchanges
+// heartbeats with its head. This happens if a member's reachability depends on its own connection
+// alone.
 TEST(ControlMembership, AMemberThatOnlyItsHeadReachesCountsAsThere)
 {
   Fleet fleet;
--- a/tests/unit/refused_calls_test.cpp
+++ b/tests/unit/refused_calls_test.cpp
@@ -18,8 +18,8 @@
   return "";
 }
 
-// Symptom: the log of control is full of one writer's entries, and what happened before is lost.
-// Sequence: it sends what can't be read, many times a second. Cause: a line for each call.
+// Guards against a log that one caller fills, which evicts earlier entries: the caller sends calls
+// that can't be parsed, many times a second. This happens if each call is logged on its own line.
 TEST(RefusedCalls, OneLineASecondCountsThemAll)
 {
   RefusedCalls refused;
--- a/tests/unit/serving_feed_size_test.cpp
+++ b/tests/unit/serving_feed_size_test.cpp
@@ -34,12 +34,12 @@
   return bytes;
 }
 
-// Symptom: control processes went over their memory limit of 256 MB and were ended, at the first
-// announcements already; configurations were read back late and proper requests were refused
-// ("CONFIG 121, DENIED 108; 6 exits of its own": 52 entries, 391 targets). Sequence: the targets
-// announce themselves within a second or two. Cause: for each row that changed, every entry was
-// sent the whole list: what is sent grows with entries x targets x changes (21,884 lists of some 50
-// kB in 49 s), the leader's link is full, and what waits for it takes all memory.
+// Guards against control processes that exceed their memory limit of 256 MB when all targets
+// announce themselves within a second or two. If each changed row sends the whole list to every
+// entry, traffic grows with entries x targets x changes, the leader's link saturates, and the send
+// queues use up the memory. With 52 entries and 391 targets, 21,884 lists of about 50 kB were sent
+// in 49 s: control processes exited 6 times, 121 configurations were read back late, and 108 valid
+// requests were refused.
 TEST(ServingFeedSize, WhatIsSentIsNearWhatChanged)
 {
   FeedWorld world;
@@ -50,7 +50,7 @@
   world.TakeFrames();
   std::vector<ServedTarget> targets;
   std::size_t sent = 0;
-  constexpr auto kGap = 2ms; // All of them within a second.
+  constexpr auto kGap = 2ms; // All targets announce themselves within one second.
   for (std::size_t number = 0; number < kTargets; ++number) {
     targets.push_back(Target(number));
     world.now += kGap;
@@ -67,18 +67,18 @@
     whole.targets.push_back(std::make_unique<wire::ServingTargetT>(ToWire(target)));
   }
   const std::size_t wholeBytes = EncodeEnvelope(*MakeEnvelope(std::move(whole))).size();
-  // Each entry is told each row once; as much again for the frames around them.
+  // Each entry receives each row once; the frames may take as much again.
   EXPECT_LT(sent, 2 * kEntries * wholeBytes);
 }
 
-// Symptom: memory of a control process rises without end while one entry reads slowly. Sequence:
-// the entry takes a few kB a second, rows change a thousand times. Cause: each change was queued as
-// soon as it was known, whatever waited already, and the entry was told old states one after the
-// other.
+// Guards against unbounded memory growth of a control process while one entry reads slowly: the
+// entry reads a few kB a second while rows change a thousand times. This happens if each change is
+// queued regardless of what is queued already; the entry then receives one outdated state after
+// another.
 TEST(ServingFeedSize, ASlowReaderIsToldTheLatestState)
 {
   constexpr std::size_t kReadEachStep = 100;                 // Bytes in 5 ms.
-  constexpr std::size_t kMostQueued = 64 * 1024 + 64 * 1024; // One write, and one list behind it.
+  constexpr std::size_t kMostQueued = 64 * 1024 + 64 * 1024; // One write and one list.
   FeedWorld world;
   std::size_t queued = 0;
   std::size_t mostQueued = 0;
--- a/tests/unit/serving_feed_test.cpp
+++ b/tests/unit/serving_feed_test.cpp
@@ -10,9 +10,9 @@
 using ::testing::IsEmpty;
 using tests::FeedWorld;
 
-// Symptom: a group with a dead member was noticed 1.5 s after its last answer.
-// Sequence: an entry complains of the head; another had an answer of it 1.2 s ago.
-// Cause: any answer within 1.5 s counted against the complaint.
+// Guards against the late detection of a failed group, 1.5 s after its last answer: an entry
+// reports the head as failing while another entry had an answer 1.2 s ago. This happens if any
+// answer within 1.5 s overrides the report.
 TEST(ServingFeed, AHeadFailsOnceNoEntryHadAnAnswerForHalfASecond)
 {
   FeedWorld world;
@@ -37,9 +37,9 @@
   }
 }
 
-// Symptom: a new leader closed groups of a model whose callers it had not counted yet.
-// Sequence: it hears the entries' counts twice within half a second.
-// Cause: the time before the first count was taken for time without requests.
+// Guards against a new leader that closes groups of a model with demand: it receives two counts of
+// the entries within half a second. This happens if the time before the first count is treated as
+// time without requests.
 TEST(ServingFeed, DemandIsRightFromTheSecondCountOn)
 {
   FeedWorld world;
@@ -59,9 +59,10 @@
   }
 }
 
-// Symptom: for seconds after connections were reset, heads are divided evenly among entries of
-// which one has most callers, and models seem to have none. Sequence: an entry's connection breaks,
-// and it asks again half a second later. Cause: what it had counted went with the connection.
+// Guards against wrong shares after connection resets: for seconds, heads are divided evenly
+// although one entry has most of the callers, and models appear to have no demand. An entry
+// disconnects and queries again half a second later. This happens if its counts are dropped with
+// the connection.
 TEST(ServingFeed, CallersAreRememberedWhileAnEntryConnectsAgain)
 {
   FeedWorld world;
@@ -92,9 +93,9 @@
   }
 }
 
-// Symptom: an entry that was restarted refuses everything for seconds. Sequence: it had the list,
-// its connection breaks, it asks with nothing. Cause: what was sent on the connection that broke
-// counted as had.
+// Guards against a restarted entry that refuses all calls for seconds: it had the list of targets,
+// disconnects, and sends a query without state. This happens if state sent on the closed connection
+// counts as received.
 TEST(ServingFeed, AnEntryThatRestartsIsToldAllAtOnce)
 {
   FeedWorld world;
@@ -120,9 +121,9 @@
   }
 }
 
-// Symptom: entries refuse while most heads are idle, for seconds after control was restarted.
-// Sequence: the new leader has heard of one head of two; its entries know both. Cause: heads that
-// it hadn't heard of were in nobody's share.
+// Guards against refused calls while most heads are idle, for seconds after a restart of control:
+// the new leader knows one of two heads while its entries know both. This happens if shares are
+// sent before all heads are known, because an unknown head is in no entry's share.
 TEST(ServingFeed, HeadsAreDividedOnceAllTargetsAreKnown)
 {
   FeedWorld world;
@@ -130,7 +131,7 @@
                            "large" };
   const auto sharesTold = [&] {
     wire::ServingQueryT query = world.Query(1000);
-    query.haveTerm = 7; // Of the former leader.
+    query.haveTerm = 7; // The previous leader's term.
     query.haveTargets = 12;
     world.Ask("e1", std::move(query));
     world.Tick();
@@ -152,8 +153,9 @@
   }
 }
 
-// Symptom: the entry of one failure domain refuses while heads have free slots.
-// Sequence: it gets half of all callers. Cause: the slots were divided evenly.
+// Guards against an entry that refuses calls while heads have free slots: the only entry of a
+// failure domain gets half of all callers. This happens if the slots are divided evenly among
+// entries.
 TEST(ServingFeed, EntriesAreToldTheirPartOfTheCallers)
 {
   FeedWorld world;
