--- a/include/gooseberrysail/control/context.hpp
+++ b/include/gooseberrysail/control/context.hpp
@@ -91,7 +91,7 @@
   /// \brief Whether the peer's send queue has room for a state that a later one replaces.
   /// \remarks Queued messages can't be withdrawn, so a peer that reads slowly would receive one
   /// outdated state after another. Without room, the sender waits and then sends the current state.
-  [[nodiscard]] bool HasRoom(const ProcessId& peer) const;
+  [[nodiscard]] bool HasQueueCapacity(const ProcessId& peer) const;
 
   /// \brief Whether a quorum confirmed this leader within the last second.
   /// \remarks A deposed leader behind a network partition may not know that it was deposed; without
--- a/include/gooseberrysail/control/membership.hpp
+++ b/include/gooseberrysail/control/membership.hpp
@@ -12,7 +12,7 @@
 namespace gooseberrysail {
 
 /// \brief The latest announcement of a VM's agent; not replicated.
-struct VmLive
+struct VmRuntimeState
 {
   ProcessId process;
   TimePoint lastHeard{};
@@ -24,7 +24,7 @@
 };
 
 /// \brief A group's latest report and the progress of the orders to its members; not replicated.
-struct GroupLive
+struct GroupRuntimeState
 {
   TimePoint firstSeen{};
   TimePoint lastReport{};
@@ -61,8 +61,8 @@
 
   void Tick(ControlContext& context);
 
-  [[nodiscard]] const VmLive* FindVm(const VmId& vm) const;
-  [[nodiscard]] const GroupLive* FindGroup(GroupId group) const;
+  [[nodiscard]] const VmRuntimeState* FindVm(const VmId& vm) const;
+  [[nodiscard]] const GroupRuntimeState* FindGroup(GroupId group) const;
 
   /// \brief The time on this leader's clock from which no head can hold a lease of the group.
   [[nodiscard]] TimePoint LeaseEnd(const ControlContext& context, GroupId group) const;
@@ -78,7 +78,7 @@
 
   /// \brief Whether a missing report means that a group is gone: every group has reported to this
   /// leader, or kReportTimeout has passed since its election.
-  [[nodiscard]] bool HasHeardAll(const ControlContext& context) const;
+  [[nodiscard]] bool HasInitialReports(const ControlContext& context) const;
 
   /// \brief Number of observed changes: of connections, of readiness, of missing members.
   [[nodiscard]] std::uint64_t Observations() const noexcept { return m_observations; }
@@ -100,20 +100,22 @@
                                          const ProcessId& peer,
                                          const wire::GroupReportT& report);
   void TendGroups(ControlContext& context);
-  void NoteBroken(const ControlContext& context, const GroupRow& row, GroupLive& live) const;
-  void SendAssigns(ControlContext& context, const GroupRow& row, GroupLive& live) const;
+  void NoteBroken(const ControlContext& context,
+                  const GroupRow& row,
+                  GroupRuntimeState& live) const;
+  void SendAssigns(ControlContext& context, const GroupRow& row, GroupRuntimeState& live) const;
   void SendRelease(ControlContext& context,
                    const GroupRow& row,
                    const VmId& vm,
                    Duration grace) const;
-  void TendDraining(ControlContext& context, const GroupRow& row, GroupLive& live);
-  void TendDissolved(ControlContext& context, const GroupRow& row, GroupLive& live);
+  void TendDraining(ControlContext& context, const GroupRow& row, GroupRuntimeState& live);
+  void TendDissolved(ControlContext& context, const GroupRow& row, GroupRuntimeState& live);
   void DrainLeaving(ControlContext& context);
   void ForgetVms(ControlContext& context);
 
-  std::unordered_map<VmId, VmLive> m_vms;
+  std::unordered_map<VmId, VmRuntimeState> m_vms;
   std::unordered_map<ProcessId, VmId> m_vmOfProcess;
-  std::unordered_map<GroupId, GroupLive> m_groups;
+  std::unordered_map<GroupId, GroupRuntimeState> m_groups;
   std::unordered_set<VmId> m_leaving; ///< VMs whose agents announced that they are leaving.
   std::uint64_t m_tendedRevision = 0;
   std::uint64_t m_observations = 0;
--- a/include/gooseberrysail/control/outside_api.hpp
+++ b/include/gooseberrysail/control/outside_api.hpp
@@ -53,7 +53,7 @@
   kInvalid,     ///< Invalid; a retry fails too.
   kConflict,    ///< Another document has this version.
   kUnavailable, ///< Outcome unknown or not possible now; retry with this or another process.
-  kElsewhere,   ///< Only the leader answers this call.
+  kNotLeader,   ///< Only the leader answers this call.
 };
 
 struct OutsideAnswer
@@ -61,7 +61,7 @@
   OutsideStatus status = OutsideStatus::kDone;
   std::string text;          ///< The document, for a read with kDone.
   std::string reason;        ///< Readable reason of any other status.
-  std::string leaderAddress; ///< The leader's peer address, "ip:port", for kElsewhere.
+  std::string leaderAddress; ///< The leader's peer address, "ip:port", for kNotLeader.
 };
 
 /// \brief Hooks that translate between HTTP and the types above; either all are set or none.
--- a/include/gooseberrysail/control/serving_feed.hpp
+++ b/include/gooseberrysail/control/serving_feed.hpp
@@ -31,7 +31,7 @@
 
   /// \brief Sets whether the list of targets is complete. An incomplete list goes only to entries
   /// without targets: others would drop targets that still serve.
-  void SetWhole(bool isWhole) { m_isWhole = isWhole; }
+  void SetTargetsComplete(bool isWhole) { m_isWhole = isWhole; }
 
   /// \brief Sends each entry what it lacks: urgent changes at once, others batched.
   void Tick(ControlContext& context);
--- a/src/control/admin_views.cpp
+++ b/src/control/admin_views.cpp
@@ -27,7 +27,7 @@
   return moment == TimePoint{} ? json::value(nullptr) : json::value(ToMillis(context.now - moment));
 }
 
-const char* GroupState(const GroupRow& row, const GroupLive* live, bool serving)
+const char* GroupState(const GroupRow& row, const GroupRuntimeState* live, bool serving)
 {
   if (row.dissolved) {
     return "dissolved";
@@ -177,7 +177,7 @@
 {
   json::array list;
   for (const auto& [group, row] : context.state.GetGroups().Groups()) {
-    const GroupLive* live = sources.membership.FindGroup(group);
+    const GroupRuntimeState* live = sources.membership.FindGroup(group);
     const bool serving = sources.membership.IsServing(context, row);
     json::object view;
     view["group"] = group.Get();
@@ -213,7 +213,7 @@
   json::array list;
   for (const VmRow* row : rows) {
     const VmId vm(row->record.vm);
-    const VmLive* live = sources.membership.FindVm(vm);
+    const VmRuntimeState* live = sources.membership.FindVm(vm);
     json::object view;
     view["target"] = row->record.vm;
     view["process"] = row->record.process;
--- a/src/control/context.cpp
+++ b/src/control/context.cpp
@@ -30,7 +30,7 @@
   return ready && replication.quorumHeardAt + kFreshQuorum >= now;
 }
 
-bool ControlContext::HasRoom(const ProcessId& peer) const
+bool ControlContext::HasQueueCapacity(const ProcessId& peer) const
 {
   return queuedBytes == nullptr || !*queuedBytes || (*queuedBytes)(peer) < kQueueRoomBytes;
 }
--- a/src/control/group_planning.cpp
+++ b/src/control/group_planning.cpp
@@ -113,7 +113,7 @@
     view.group = row->group;
     view.reachable = membership.IsReachable(context, *row);
     view.draining = membership.IsLeaving(context, view.vm);
-    if (const VmLive* live = membership.FindVm(view.vm)) {
+    if (const VmRuntimeState* live = membership.FindVm(view.vm)) {
       view.lastHeard = live->lastHeard;
       view.loadedModel = live->loadedModel;
     }
@@ -129,7 +129,7 @@
     view.members = row.members;
     view.draining = row.draining;
     view.serving = membership.IsServing(context, row);
-    if (const GroupLive* live = membership.FindGroup(group)) {
+    if (const GroupRuntimeState* live = membership.FindGroup(group)) {
       view.formedAt = live->firstSeen;
       view.brokenSince = live->brokenSince;
     }
--- a/src/control/membership.cpp
+++ b/src/control/membership.cpp
@@ -88,7 +88,7 @@
   if (vm.IsNone()) {
     return;
   }
-  VmLive& live = m_vms[vm];
+  VmRuntimeState& live = m_vms[vm];
   const bool otherAlive =
     !live.process.IsNone() && live.process != peer && live.connected && context.IsUp(live.process);
   if (otherAlive) {
@@ -180,7 +180,7 @@
   if (row == nullptr || !MayHoldLease(context, peer, report)) {
     return;
   }
-  GroupLive& live = m_groups[row->group];
+  GroupRuntimeState& live = m_groups[row->group];
   const bool changed =
     !live.reported || live.ready != report.ready || live.missing.size() != report.missing.size();
   m_observations += changed ? 1 : 0;
@@ -246,7 +246,7 @@
 
 bool TargetMembership::IsServing(const ControlContext& context, const GroupRow& row) const
 {
-  const GroupLive* live = FindGroup(row.group);
+  const GroupRuntimeState* live = FindGroup(row.group);
   return live != nullptr && !row.dissolved && live->reported && live->ready &&
          context.now - live->lastReport < kReportTimeout;
 }
@@ -254,11 +254,11 @@
 bool TargetMembership::IsReachable(const ControlContext& context, const VmRow& row) const
 {
   const VmId vm(row.record.vm);
-  const VmLive* live = FindVm(vm);
+  const VmRuntimeState* live = FindVm(vm);
   if (live != nullptr && live->connected && context.now - live->lastHeard < kAnnounceTimeout) {
     return true;
   }
-  const GroupLive* group = FindGroup(row.group);
+  const GroupRuntimeState* group = FindGroup(row.group);
   return group != nullptr && group->reported && context.now - group->lastReport < kReportTimeout &&
          std::find(group->missing.begin(), group->missing.end(), vm) == group->missing.end();
 }
@@ -266,17 +266,17 @@
 bool TargetMembership::IsLeaving(const ControlContext& context, const VmId& vm) const
 {
   const TargetSpec* target = context.catalogue.FindTarget(vm);
-  const VmLive* live = FindVm(vm);
+  const VmRuntimeState* live = FindVm(vm);
   return (target != nullptr && target->draining) || (live != nullptr && live->leaving);
 }
 
-bool TargetMembership::HasHeardAll(const ControlContext& context) const
+bool TargetMembership::HasInitialReports(const ControlContext& context) const
 {
   if (context.now - context.leaderSince >= kReportTimeout) {
     return true;
   }
   for (const auto& [group, row] : context.state.GetGroups().Groups()) {
-    const GroupLive* live = FindGroup(group);
+    const GroupRuntimeState* live = FindGroup(group);
     if (!row.dissolved && (live == nullptr || !live->reported)) {
       return false;
     }
@@ -284,13 +284,13 @@
   return true;
 }
 
-const VmLive* TargetMembership::FindVm(const VmId& vm) const
+const VmRuntimeState* TargetMembership::FindVm(const VmId& vm) const
 {
   const auto found = m_vms.find(vm);
   return found == m_vms.end() ? nullptr : &found->second;
 }
 
-const GroupLive* TargetMembership::FindGroup(GroupId group) const
+const GroupRuntimeState* TargetMembership::FindGroup(GroupId group) const
 {
   const auto found = m_groups.find(group);
   return found == m_groups.end() ? nullptr : &found->second;
@@ -325,7 +325,7 @@
   const bool mayOrder = context.HasFreshQuorum();
   for (const auto& [group, row] : context.state.GetGroups().Groups()) {
     const auto [found, isNew] = m_groups.try_emplace(group);
-    GroupLive& live = found->second;
+    GroupRuntimeState& live = found->second;
     if (live.firstSeen == TimePoint{}) {
       live.firstSeen = context.now;
     }
@@ -346,7 +346,7 @@
 
 void TargetMembership::NoteBroken(const ControlContext& context,
                                   const GroupRow&,
-                                  GroupLive& live) const
+                                  GroupRuntimeState& live) const
 {
   const TimePoint heard = std::max({ live.lastReport, live.firstSeen, context.leaderSince });
   const bool silent = context.now - heard >= kReportTimeout;
@@ -359,7 +359,7 @@
 
 void TargetMembership::SendAssigns(ControlContext& context,
                                    const GroupRow& row,
-                                   GroupLive& live) const
+                                   GroupRuntimeState& live) const
 {
   wire::AssignT assign;
   assign.group = row.group.Get();
@@ -401,7 +401,9 @@
   context.SendMessage(agent, release);
 }
 
-void TargetMembership::TendDraining(ControlContext& context, const GroupRow& row, GroupLive& live)
+void TargetMembership::TendDraining(ControlContext& context,
+                                    const GroupRow& row,
+                                    GroupRuntimeState& live)
 {
   if (!live.drainSince) {
     live.drainSince = context.now;
@@ -425,7 +427,9 @@
   }
 }
 
-void TargetMembership::TendDissolved(ControlContext& context, const GroupRow& row, GroupLive& live)
+void TargetMembership::TendDissolved(ControlContext& context,
+                                     const GroupRow& row,
+                                     GroupRuntimeState& live)
 {
   const bool leaseEnded = context.now >= LeaseEnd(context, row.group);
   // The head is released first: a member freed while the head may still serve would be in two
@@ -482,7 +486,7 @@
     return;
   }
   for (const auto& [vm, row] : context.state.GetGroups().Vms()) {
-    const VmLive* live = FindVm(vm);
+    const VmRuntimeState* live = FindVm(vm);
     const bool silent = live == nullptr || context.now - live->lastHeard >= kForgetVmAfter;
     if (silent && row.group.IsNone()) {
       wire::RemoveVmT command;
--- a/src/control/route_distribution.cpp
+++ b/src/control/route_distribution.cpp
@@ -154,7 +154,7 @@
   for (const auto& [group, row] : m_rows) {
     m_closed.insert(group);
     if (!rows.contains(group) && row.route.state == wire::RouteState::Open) {
-      const GroupLive* live = membership.FindGroup(group);
+      const GroupRuntimeState* live = membership.FindGroup(group);
       context.outbox.emplace_back(MakeEvent(
         EventNumber::kGroupNotServing,
         { { "group", std::to_string(group.Get()) },
@@ -278,7 +278,7 @@
 {
   // A new leader that spoke before it heard the heads would take every route away at once; until
   // then the entries keep what its predecessor told them.
-  if (!context.HasFreshQuorum() || !membership.HasHeardAll(context)) {
+  if (!context.HasFreshQuorum() || !membership.HasInitialReports(context)) {
     return;
   }
   const std::pair now(context.state.GetGroups().Revision(), membership.Observations());
--- a/src/control/serving_control.cpp
+++ b/src/control/serving_control.cpp
@@ -145,7 +145,7 @@
   for (const EntrySettings::Control& control : context.controls) {
     const bool leads = control.process == context.replication.leaderHint;
     if (leads && control.process != context.settings.process) {
-      answer = { OutsideStatus::kElsewhere, {}, "another process leads", control.address };
+      answer = { OutsideStatus::kNotLeader, {}, "another process leads", control.address };
     }
   }
   Respond(context, exchange, answer);
@@ -276,7 +276,7 @@
     KeepGroups(context);
     m_feed.SetTargets(ListTargets(context));
   }
-  m_feed.SetWhole(HasHeardAll(context.now));
+  m_feed.SetTargetsComplete(HasHeardAll(context.now));
   m_feed.Tick(context);
 }
 
--- a/src/control/serving_feed.cpp
+++ b/src/control/serving_feed.cpp
@@ -241,7 +241,7 @@
   const bool lacksParts = Differ(entry.toldParts, parts);
   const bool lacksShares = Differ(entry.toldShares, entry.shares);
   const bool isSupplied = !lack.document && !lack.targetsSince && !lacksParts && !lacksShares;
-  if (isSupplied || !context.HasRoom(process)) {
+  if (isSupplied || !context.HasQueueCapacity(process)) {
     return;
   }
   lack.controls = !entry.knowsControls;
--- a/src/control/target_relay.cpp
+++ b/src/control/target_relay.cpp
@@ -50,7 +50,8 @@
 void TargetRelay::Tick(ControlContext& context, const TargetTable& targets)
 {
   for (auto& [process, waiting] : m_waiting) {
-    if (waiting.targets.empty() || context.now < waiting.due || !context.HasRoom(process)) {
+    if (waiting.targets.empty() || context.now < waiting.due ||
+        !context.HasQueueCapacity(process)) {
       continue;
     }
     wire::TargetsHeardT heard;
--- a/tests/unit/feed_client_test.cpp
+++ b/tests/unit/feed_client_test.cpp
@@ -175,7 +175,7 @@
   explicit FeedSchedule(std::uint64_t seed)
     : m_random(seed)
   {
-    m_world.feed.SetWhole(true);
+    m_world.feed.SetTargetsComplete(true);
     m_world.replication.term = Term(1);
     for (std::size_t entry = 0; entry < kEntries; ++entry) {
       m_entries.emplace_back();
--- a/tests/unit/platform_test.cpp
+++ b/tests/unit/platform_test.cpp
@@ -221,7 +221,7 @@
 {
   const OutsideApi api = MakeOutsideApi("10.0.0.1:8229");
   const HttpAnswerOut answer =
-    api.encode(ExchangeId(1), { OutsideStatus::kElsewhere, {}, "", "10.0.0.2:7340" });
+    api.encode(ExchangeId(1), { OutsideStatus::kNotLeader, {}, "", "10.0.0.2:7340" });
   EXPECT_EQ(answer.status, 307U);
   EXPECT_EQ(FindHeader(answer.headers, "Location"), "http://10.0.0.2:8229/api/config");
 }
--- a/tests/unit/serving_feed_size_test.cpp
+++ b/tests/unit/serving_feed_size_test.cpp
@@ -43,7 +43,7 @@
 TEST(ServingFeedSize, WhatIsSentIsNearWhatChanged)
 {
   FeedWorld world;
-  world.feed.SetWhole(true);
+  world.feed.SetTargetsComplete(true);
   for (std::size_t entry = 0; entry < kEntries; ++entry) {
     world.Ask(EntryName(entry), {});
   }
@@ -83,7 +83,7 @@
   std::size_t queued = 0;
   std::size_t mostQueued = 0;
   world.queuedBytes = [&](const ProcessId&) { return queued; };
-  world.feed.SetWhole(true);
+  world.feed.SetTargetsComplete(true);
   std::vector<ServedTarget> targets;
   for (std::size_t number = 0; number < kTargets; ++number) {
     targets.push_back(Target(number));
--- a/tests/unit/serving_feed_test.cpp
+++ b/tests/unit/serving_feed_test.cpp
@@ -75,7 +75,7 @@
   {
     world.feed.SetTargets(std::vector<ServedTarget>{
       { InstanceId("h1"), "assist", "h1:80", FailureDomainId("a"), 28, false, "large" } });
-    world.feed.SetWhole(true);
+    world.feed.SetTargetsComplete(true);
     world.TakeFrames();
     world.now += 500ms;
     world.Ask("e1", world.Query(1020));
@@ -99,7 +99,7 @@
 TEST(ServingFeed, AnEntryThatRestartsIsToldAllAtOnce)
 {
   FeedWorld world;
-  world.feed.SetWhole(true);
+  world.feed.SetTargetsComplete(true);
   world.feed.SetTargets(std::vector<ServedTarget>{
     { InstanceId("h1"), "assist", "h1:80", FailureDomainId("a"), 28, false, "large" } });
   world.Ask("e1", {});
@@ -148,7 +148,7 @@
   }
   SECTION("which is told by its owner")
   {
-    world.feed.SetWhole(true);
+    world.feed.SetTargetsComplete(true);
     EXPECT_EQ(sharesTold(), 1U);
   }
 }
