--- a/include/gooseberrysail/control/admin_api.hpp
+++ b/include/gooseberrysail/control/admin_api.hpp
@@ -33,7 +33,7 @@
   void Tick(ControlContext& context, const AdminSources& sources);
 
   /// \brief Redirects new calls from now on; open calls are still answered.
-  void StopTaking() noexcept { m_stopping = true; }
+  void StopAccepting() noexcept { m_stopping = true; }
   [[nodiscard]] std::size_t OpenCalls() const noexcept
   {
     return m_reads.size() + m_writes.size() + m_queries.OpenCalls();
@@ -57,7 +57,7 @@
   };
 
   [[nodiscard]] bool Authorize(ControlContext& context, const HttpRequestIn& request) const;
-  static void PointToLeader(ControlContext& context, ExchangeId exchange);
+  static void RedirectToLeader(ControlContext& context, ExchangeId exchange);
   void Read(ControlContext& context, const WaitingRead& read, const AdminSources& sources);
   void Write(ControlContext& context, const HttpRequestIn& request);
   void AnswerReads(ControlContext& context, const AdminSources& sources);
--- a/include/gooseberrysail/control/admin_queries.hpp
+++ b/include/gooseberrysail/control/admin_queries.hpp
@@ -16,8 +16,8 @@
 class AdminQueries
 {
 public:
-  void AskRequest(ControlContext& context, ExchangeId exchange, const std::string& request);
-  void AskTimeline(ControlContext& context, ExchangeId exchange, const AdminTarget& target);
+  void LookUpRequest(ControlContext& context, ExchangeId exchange, const std::string& request);
+  void CollectTimeline(ControlContext& context, ExchangeId exchange, const AdminTarget& target);
   void OnRequestAnswer(ControlContext& context,
                        const ProcessId& peer,
                        const wire::RequestAnswerT& answer);
@@ -37,14 +37,14 @@
   static constexpr Duration kTimeout = std::chrono::seconds(2);
 
 private:
-  struct RequestQuestion
+  struct RequestLookup
   {
     ExchangeId exchange;
     std::string request;
     ProcessId entry;
     TimePoint asked{};
   };
-  struct TimelineQuestion
+  struct TimelineLookup
   {
     ExchangeId exchange;
     TimePoint asked{};
@@ -57,11 +57,11 @@
     boost::json::array events;
   };
 
-  static void AnswerTimeline(ControlContext& context, TimelineQuestion& question);
+  static void AnswerTimeline(ControlContext& context, TimelineLookup& lookup);
 
   std::uint64_t m_nonce = 0;
-  std::map<std::uint64_t, RequestQuestion> m_requests;
-  std::map<std::uint64_t, TimelineQuestion> m_timelines;
+  std::map<std::uint64_t, RequestLookup> m_requests;
+  std::map<std::uint64_t, TimelineLookup> m_timelines;
 };
 
 } // namespace gooseberrysail
--- a/include/gooseberrysail/control/catalogue_table.hpp
+++ b/include/gooseberrysail/control/catalogue_table.hpp
@@ -69,18 +69,18 @@
   static constexpr std::size_t kMaxItemBytes = 8 * 1024 * 1024;
 
 private:
-  struct Verdict;
-  [[nodiscard]] Verdict Judge(const wire::ChangeCatalogueT& change) const;
+  struct CheckResult;
+  [[nodiscard]] CheckResult Check(const wire::ChangeCatalogueT& change) const;
   void Write(LogIndex index, const wire::CatalogueWriteT& write, wire::ChangeRecordT& record);
-  void Remember(wire::ChangeRecordT record);
-  void ForgetOldRemovals();
+  void AddChange(wire::ChangeRecordT record);
+  void PruneRemovals();
 
   LogIndex m_version;
   std::map<Key, wire::CatalogueItemT> m_items;
   std::size_t m_itemBytes = 0;
   /// Removals up to this version may have been pruned: a process with an older version needs the
   /// whole catalogue.
-  std::uint64_t m_forgottenRemovals = 0;
+  std::uint64_t m_prunedVersion = 0;
   std::deque<wire::ChangeRecordT> m_changes;
   std::size_t m_changeBytes = 0;
   std::uint64_t m_firstChange = 0; ///< Sequence number of the oldest kept change.
--- a/include/gooseberrysail/control/config_service.hpp
+++ b/include/gooseberrysail/control/config_service.hpp
@@ -46,7 +46,7 @@
   [[nodiscard]] std::optional<WallMillis> InForceEverywhereAt(LogIndex version) const;
 
 private:
-  struct Waiting
+  struct WaitingQuery
   {
     ProcessId peer;
     std::uint64_t nonce = 0;
@@ -56,15 +56,15 @@
 
   void AnswerQueries(ControlContext& context);
   void PushNewVersion(ControlContext& context);
-  void NoteInForceEverywhere(const ControlContext& context);
+  void RecordInForceEverywhere(const ControlContext& context);
   [[nodiscard]] static bool MustReport(const ControlContext& context,
                                        const PeerRow& peer,
                                        Duration limit);
 
-  std::deque<Waiting> m_waiting;
-  LogIndex m_pushed;
+  std::deque<WaitingQuery> m_waitingQueries;
+  LogIndex m_pushedVersion;
   std::unordered_map<ProcessId, InForce> m_inForce;
-  std::map<LogIndex, WallMillis> m_everywhereAt;
+  std::map<LogIndex, WallMillis> m_inForceEverywhereAt;
   TimePoint m_nextCheck{};
 };
 
--- a/include/gooseberrysail/control/control_state.hpp
+++ b/include/gooseberrysail/control/control_state.hpp
@@ -50,7 +50,7 @@
   [[nodiscard]] Term StartedTerm() const noexcept { return m_startedTerm; }
 
 private:
-  std::string Put(const wire::PutDocumentT& put);
+  std::string ApplyPutDocument(const wire::PutDocumentT& put);
   std::string ApplyBody(LogIndex index, const wire::CommandT& command, Applied& applied);
 
   LogIndex m_index;
--- a/include/gooseberrysail/control/document_service.hpp
+++ b/include/gooseberrysail/control/document_service.hpp
@@ -45,7 +45,9 @@
     ReadTicket ticket;
   };
 
-  [[nodiscard]] static bool Settle(ControlContext& context, const Put& put, const Respond& respond);
+  [[nodiscard]] static bool TryAnswer(ControlContext& context,
+                                      const Put& put,
+                                      const Respond& respond);
 
   std::vector<Put> m_puts;
   std::deque<Read> m_reads;
--- a/include/gooseberrysail/control/membership.hpp
+++ b/include/gooseberrysail/control/membership.hpp
@@ -99,29 +99,29 @@
   [[nodiscard]] static bool MayHoldLease(const ControlContext& context,
                                          const ProcessId& peer,
                                          const wire::GroupReportT& report);
-  void TendGroups(ControlContext& context);
-  void NoteBroken(const ControlContext& context,
-                  const GroupRow& row,
-                  GroupRuntimeState& live) const;
+  void ReconcileGroups(ControlContext& context);
+  void UpdateBrokenSince(const ControlContext& context,
+                         const GroupRow& row,
+                         GroupRuntimeState& live) const;
   void SendAssigns(ControlContext& context, const GroupRow& row, GroupRuntimeState& live) const;
   void SendRelease(ControlContext& context,
                    const GroupRow& row,
                    const VmId& vm,
                    Duration grace) const;
-  void TendDraining(ControlContext& context, const GroupRow& row, GroupRuntimeState& live);
-  void TendDissolved(ControlContext& context, const GroupRow& row, GroupRuntimeState& live);
-  void DrainLeaving(ControlContext& context);
-  void ForgetVms(ControlContext& context);
+  void ReconcileDraining(ControlContext& context, const GroupRow& row, GroupRuntimeState& live);
+  void ReconcileDissolved(ControlContext& context, const GroupRow& row, GroupRuntimeState& live);
+  void DrainGroupsOfLeavingVms(ControlContext& context);
+  void RemoveSilentVms(ControlContext& context);
 
   std::unordered_map<VmId, VmRuntimeState> m_vms;
   std::unordered_map<ProcessId, VmId> m_vmOfProcess;
   std::unordered_map<GroupId, GroupRuntimeState> m_groups;
   std::unordered_set<VmId> m_leaving; ///< VMs whose agents announced that they are leaving.
-  std::uint64_t m_tendedRevision = 0;
+  std::uint64_t m_reconciledRevision = 0;
   std::uint64_t m_observations = 0;
-  std::uint64_t m_tendedObservations = 0;
+  std::uint64_t m_reconciledObservations = 0;
   std::deque<WaitingReport> m_waiting;
-  TimePoint m_nextTend{};
+  TimePoint m_nextReconcile{};
   TimePoint m_nextSweep{};
 };
 
--- a/include/gooseberrysail/control/request_relay.hpp
+++ b/include/gooseberrysail/control/request_relay.hpp
@@ -21,10 +21,10 @@
   void Tick(const ControlContext& context);
 
   static constexpr Duration kTimeout = std::chrono::seconds(3);
-  static constexpr std::size_t kMaxQuestions = 1024;
+  static constexpr std::size_t kMaxOpenQueries = 1024;
 
 private:
-  struct Question
+  struct RelayedQuery
   {
     ProcessId asker;
     ProcessId holder;
@@ -33,7 +33,7 @@
   };
 
   std::uint64_t m_sequence = 0;
-  std::map<std::uint64_t, Question> m_questions; ///< By the nonce sent to the holder.
+  std::map<std::uint64_t, RelayedQuery> m_relayedQueries; ///< By the nonce sent to the holder.
 };
 
 } // namespace gooseberrysail
--- a/include/gooseberrysail/control/serving_feed.hpp
+++ b/include/gooseberrysail/control/serving_feed.hpp
@@ -31,16 +31,16 @@
 
   /// \brief Sets whether the list of targets is complete. An incomplete list goes only to entries
   /// without targets: others would drop targets that still serve.
-  void SetTargetsComplete(bool isWhole) { m_isWhole = isWhole; }
+  void SetTargetsComplete(bool areComplete) { m_areTargetsComplete = areComplete; }
 
   /// \brief Sends each entry what it lacks: urgent changes at once, others batched.
   void Tick(ControlContext& context);
 
-  /// \brief Heads that answered some entry within kAnsweredLately.
+  /// \brief Heads that answered some entry within kRecentAnswerWindow.
   [[nodiscard]] std::set<InstanceId> AnsweringHeads(TimePoint now) const;
 
   /// \brief Heads that some entry reported as failing and that had answered no entry for
-  /// kStandsStill before the report.
+  /// kHeadStallTime before the report.
   [[nodiscard]] std::set<InstanceId> FailingHeads(TimePoint now) const;
 
   /// \brief Step time of each head: the shortest that any entry measured. Longer times at other
@@ -54,28 +54,28 @@
   [[nodiscard]] bool HasTraffic() const noexcept { return m_hasTraffic; }
 
   /// \brief A working head with requests in flight answers at least once within this time.
-  static constexpr Duration kAnsweredLately = std::chrono::milliseconds(1500);
+  static constexpr Duration kRecentAnswerWindow = std::chrono::milliseconds(1500);
 
   /// \brief An entry reports a head as failing after 600 ms without an answer. Other entries, which
   /// report every 500 ms, may have had a later answer. A false positive costs one probe of each
   /// member and ends no group.
-  static constexpr Duration kStandsStill = std::chrono::milliseconds(500);
+  static constexpr Duration kHeadStallTime = std::chrono::milliseconds(500);
 
   /// \brief Interval at which changes that are not urgent are sent together.
-  static constexpr Duration kJoinTime = std::chrono::milliseconds(50);
+  static constexpr Duration kBatchInterval = std::chrono::milliseconds(50);
 
   /// \brief Interval at which the entries' shares of the heads are recomputed, since callers move
   /// between entries. They are also recomputed at once when heads are added or removed.
-  static constexpr Duration kDivideInterval = std::chrono::milliseconds(500);
+  static constexpr Duration kShareInterval = std::chrono::milliseconds(500);
 
   /// \brief Time within which all entries query a new leader. Heads divided earlier, among the
   /// first entries alone, would give each of these several times its share.
-  static constexpr Duration kMeetEntries = std::chrono::seconds(1);
+  static constexpr Duration kEntryDiscoveryTime = std::chrono::seconds(1);
 
   /// \brief State that an entry's queries don't confirm within this time is sent again. It exceeds
   /// the time that a document takes over a saturated link, and the time after which a silent
   /// connection is closed.
-  static constexpr Duration kSendAgain = std::chrono::seconds(4);
+  static constexpr Duration kResendAfter = std::chrono::seconds(4);
 
 private:
   /// \brief One entry's requests for one model, as an exponentially weighted moving average.
@@ -83,12 +83,12 @@
   {
     ModelDemand counted; ///< Totals since the entry started, at `at`.
     ModelDemand perSecond;
-    double seenSeconds = 0; ///< Observed time that `perSecond` averages.
+    double observedSeconds = 0; ///< Observed time that `perSecond` averages.
     TimePoint at{};
   };
 
   /// \brief The state that an entry has, or was sent on its current connection.
-  struct Supplied
+  struct SentState
   {
     std::uint64_t document = 0;
     std::uint64_t targets = 0; ///< Sequence number in this leader's term.
@@ -97,19 +97,19 @@
 
   struct Entry
   {
-    Supplied supplied;
-    bool knowsTargets = false; ///< From any leader.
-    bool knowsControls = false;
+    SentState sent;
+    bool hasTargets = false; ///< From any leader.
+    bool hasControls = false;
     FailureDomainId failureDomain;
-    TimePoint heardAt{};
+    TimePoint lastQueryAt{};
     bool isConnected = true;
     std::map<InstanceId, TimePoint> answeredAt;
     std::map<InstanceId, TimePoint> failedAt;
     std::map<InstanceId, Duration> steps;    ///< As last reported.
     std::map<std::string, ModelRate> rates;  ///< By model.
-    std::map<std::string, double> toldParts; ///< Its part of each model's requests, as last sent.
+    std::map<std::string, double> sentParts; ///< Its part of each model's requests, as last sent.
     HeadShares shares;                       ///< Of the heads of all models.
-    HeadShares toldShares;                   ///< As last sent.
+    HeadShares sentShares;                   ///< As last sent.
   };
 
   using Parts = std::map<std::string, double>; ///< By model.
@@ -123,48 +123,48 @@
   [[nodiscard]] double PartOf(const Entry& entry,
                               const std::string& model,
                               const std::map<std::string, ModelDemand>& demand) const;
-  void NoteHave(const ControlContext& context,
-                Entry& entry,
-                const wire::ServingQueryT& query) const;
-  static void NoteDemand(TimePoint now, Entry& entry, const wire::ModelDemandT& demand);
+  void UpdateSentState(const ControlContext& context,
+                       Entry& entry,
+                       const wire::ServingQueryT& query) const;
+  static void RecordDemand(TimePoint now, Entry& entry, const wire::ModelDemandT& demand);
   /// \brief After a change of the control processes, adds their addresses to each entry's next
   /// frame.
-  void FollowControls(const ControlContext& context);
+  void UpdateControls(const ControlContext& context);
   /// \brief State that an entry lacks; entries that lack the same receive the same message.
-  struct Lack
+  struct MissingState
   {
     bool controls = false;
     bool document = false;
-    std::optional<std::uint64_t> targetsSince; ///< None when its targets are up to date.
+    std::optional<std::uint64_t> targetsSince; ///< None when no targets are sent.
 
-    friend auto operator<=>(const Lack&, const Lack&) = default;
+    friend auto operator<=>(const MissingState&, const MissingState&) = default;
   };
-  using Messages = std::map<Lack, std::shared_ptr<wire::EnvelopeT>>;
+  using Messages = std::map<MissingState, std::shared_ptr<wire::EnvelopeT>>;
 
   /// \brief Recomputes the entries' shares of the heads when that is due.
-  void FollowHeads(TimePoint now, const std::map<std::string, ModelDemand>& demand);
-  void Divide(const std::map<std::string, ModelDemand>& demand);
-  [[nodiscard]] bool IsDueTargets(const ControlContext& context, const Entry& entry) const;
-  void Supply(ControlContext& context,
-              const ProcessId& process,
-              Entry& entry,
-              const std::map<std::string, ModelDemand>& demand,
-              Messages& messages);
+  void UpdateHeadShares(TimePoint now, const std::map<std::string, ModelDemand>& demand);
+  void AssignHeadShares(const std::map<std::string, ModelDemand>& demand);
+  [[nodiscard]] bool AreTargetsDue(const ControlContext& context, const Entry& entry) const;
+  void SendMissingState(ControlContext& context,
+                        const ProcessId& process,
+                        Entry& entry,
+                        const std::map<std::string, ModelDemand>& demand,
+                        Messages& messages);
   /// \brief Adds the entry's parts of the requests and its shares of the heads.
   static void AddShares(const Entry& entry, wire::ServingStateT& state);
   [[nodiscard]] wire::ServingStateT MakeState(const ControlContext& context,
-                                              const Lack& lack) const;
+                                              const MissingState& missing) const;
 
   std::map<ProcessId, Entry> m_entries;
-  std::vector<EntrySettings::Control> m_toldControls; ///< As last sent to entries.
+  std::vector<EntrySettings::Control> m_sentControls; ///< As last sent to entries.
   TargetChanges m_targets;
   std::uint64_t m_urgentSequence = 0;                       ///< Of the latest urgent change.
   std::map<std::string, std::vector<HeadCapacity>> m_heads; ///< Heads that accept work, by model.
-  bool m_isDivided = false;                                 ///< Shares match m_heads.
-  TimePoint m_nextDivide{};
-  TimePoint m_firstAskedAt{}; ///< First query of any entry to this leader.
+  bool m_areSharesCurrent = false;                          ///< Shares match m_heads.
+  TimePoint m_nextShareUpdate{};
+  TimePoint m_firstQueryAt{}; ///< First query of any entry to this leader.
   bool m_hasTraffic = false;
-  bool m_isWhole = false;
+  bool m_areTargetsComplete = false;
 };
 
 /// \brief The addresses of the control processes, which a follower sends to an entry.
--- a/src/control/admin_api.cpp
+++ b/src/control/admin_api.cpp
@@ -72,7 +72,7 @@
   return false;
 }
 
-void AdminApi::PointToLeader(ControlContext& context, ExchangeId exchange)
+void AdminApi::RedirectToLeader(ControlContext& context, ExchangeId exchange)
 {
   const ProcessId& hint = context.replication.leaderHint;
   const auto leader =
@@ -109,7 +109,7 @@
     return;
   }
   if (!context.ready || m_stopping) {
-    PointToLeader(context, request.exchange);
+    RedirectToLeader(context, request.exchange);
     return;
   }
   const bool isCatalogue = target.value().path == std::vector<std::string>{ "catalogue" };
@@ -218,9 +218,9 @@
   } else if (path.size() == 1 && topic == "targets") {
     answer(TargetsView(context, sources));
   } else if (path.size() == 2 && topic == "requests") {
-    m_queries.AskRequest(context, read.exchange, path[1]);
+    m_queries.LookUpRequest(context, read.exchange, path[1]);
   } else if (path.size() == 1 && topic == "timeline") {
-    m_queries.AskTimeline(context, read.exchange, read.target);
+    m_queries.CollectTimeline(context, read.exchange, read.target);
   } else {
     Refuse(context,
            read.exchange,
@@ -293,7 +293,7 @@
 void AdminApi::OnLeadershipLost(ControlContext& context)
 {
   for (const WaitingRead& read : m_reads) {
-    PointToLeader(context, read.exchange);
+    RedirectToLeader(context, read.exchange);
   }
   m_reads.clear();
   for (const auto& [exchange, write] : m_writes) {
--- a/src/control/admin_queries.cpp
+++ b/src/control/admin_queries.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-constexpr std::size_t kMaxQuestions = 256;
-constexpr std::size_t kMaxAsked = 500;
+constexpr std::size_t kMaxOpenLookups = 256;
+constexpr std::size_t kMaxQueriedProcesses = 500;
 constexpr std::uint32_t kDefaultLimit = 1'000;
 constexpr std::uint32_t kMaxLimit = 10'000;
 constexpr std::size_t kMaxTimelineBytes = 8 * 1024 * 1024;
@@ -84,9 +84,9 @@
 
 } // namespace
 
-void AdminQueries::AskRequest(ControlContext& context,
-                              ExchangeId exchange,
-                              const std::string& request)
+void AdminQueries::LookUpRequest(ControlContext& context,
+                                 ExchangeId exchange,
+                                 const std::string& request)
 {
   const std::string step = "look up request " + request;
   const ProcessId entry = EntryOf(RequestId(request));
@@ -100,7 +100,7 @@
            "a request id has the form <entry>.<incarnation>.<sequence>");
     return;
   }
-  if (!context.IsUp(entry) || m_requests.size() >= kMaxQuestions) {
+  if (!context.IsUp(entry) || m_requests.size() >= kMaxOpenLookups) {
     Refuse(
       context,
       exchange,
@@ -114,7 +114,7 @@
   wire::RequestQueryT query;
   query.nonce = ++m_nonce;
   query.request = request;
-  m_requests.emplace(query.nonce, RequestQuestion{ exchange, request, entry, context.now });
+  m_requests.emplace(query.nonce, RequestLookup{ exchange, request, entry, context.now });
   context.SendMessage(entry, std::move(query));
 }
 
@@ -126,25 +126,25 @@
   if (found == m_requests.end() || found->second.entry != peer) {
     return;
   }
-  const RequestQuestion question = found->second;
+  const RequestLookup lookup = found->second;
   m_requests.erase(found);
   if (answer.found && answer.record != nullptr) {
     constexpr unsigned kOk = 200;
-    context.outbox.emplace_back(JsonAnswer(question.exchange, kOk, RequestView(*answer.record)));
+    context.outbox.emplace_back(JsonAnswer(lookup.exchange, kOk, RequestView(*answer.record)));
     return;
   }
   Refuse(context,
-         question.exchange,
+         lookup.exchange,
          kNotFound,
          ErrorCode::kNotFound,
-         "look up request " + question.request,
+         "look up request " + lookup.request,
          peer.Get(),
          "the entry has no record of it: it was restarted since, or the record is too old");
 }
 
-void AdminQueries::AskTimeline(ControlContext& context,
-                               ExchangeId exchange,
-                               const AdminTarget& target)
+void AdminQueries::CollectTimeline(ControlContext& context,
+                                   ExchangeId exchange,
+                                   const AdminTarget& target)
 {
   const auto since = NumberParameter(target, "sinceHlc", 0);
   const auto group = NumberParameter(target, "group", 0);
@@ -160,7 +160,7 @@
              std::to_string(kMaxLimit));
     return;
   }
-  if (m_timelines.size() >= kMaxQuestions) {
+  if (m_timelines.size() >= kMaxOpenLookups) {
     Refuse(context,
            exchange,
            kUnavailable,
@@ -178,25 +178,25 @@
   query.group = *group;
   query.vm = TextParameter(target, "target");
 
-  TimelineQuestion question;
-  question.exchange = exchange;
-  question.asked = context.now;
-  question.awaited.insert(context.settings.process);
+  TimelineLookup lookup;
+  lookup.exchange = exchange;
+  lookup.asked = context.now;
+  lookup.awaited.insert(context.settings.process);
   for (const auto& [process, peer] : context.peers) {
     if (!peer.up) {
       continue;
     }
-    if (question.awaited.size() < kMaxAsked) {
-      question.awaited.insert(process);
+    if (lookup.awaited.size() < kMaxQueriedProcesses) {
+      lookup.awaited.insert(process);
     } else {
-      ++question.notAsked;
+      ++lookup.notAsked;
     }
   }
   const auto envelope = MakeEnvelope(wire::TimelineQueryT(query));
-  for (const ProcessId& process : question.awaited) {
+  for (const ProcessId& process : lookup.awaited) {
     context.Send(process, envelope);
   }
-  m_timelines.emplace(query.nonce, std::move(question));
+  m_timelines.emplace(query.nonce, std::move(lookup));
 }
 
 void AdminQueries::OnTimelineAnswer(ControlContext& context,
@@ -207,24 +207,24 @@
   if (found == m_timelines.end() || found->second.awaited.erase(peer) == 0) {
     return;
   }
-  TimelineQuestion& question = found->second;
-  question.answered.insert(peer);
-  question.dropped += answer.dropped;
+  TimelineLookup& lookup = found->second;
+  lookup.answered.insert(peer);
+  lookup.dropped += answer.dropped;
   for (const auto& event : answer.events) {
-    question.bytes += BytesOf(*event);
-    if (question.bytes > kMaxTimelineBytes) {
-      question.truncated = true;
+    lookup.bytes += BytesOf(*event);
+    if (lookup.bytes > kMaxTimelineBytes) {
+      lookup.truncated = true;
       break;
     }
-    question.events.push_back(EventView(*event));
+    lookup.events.push_back(EventView(*event));
   }
-  if (question.awaited.empty()) {
-    AnswerTimeline(context, question);
+  if (lookup.awaited.empty()) {
+    AnswerTimeline(context, lookup);
     m_timelines.erase(found);
   }
 }
 
-void AdminQueries::AnswerTimeline(ControlContext& context, TimelineQuestion& question)
+void AdminQueries::AnswerTimeline(ControlContext& context, TimelineLookup& lookup)
 {
   const auto names = [](const std::set<ProcessId>& processes) {
     json::array list;
@@ -234,14 +234,14 @@
     return list;
   };
   json::object view;
-  view["events"] = std::move(question.events);
-  view["answered"] = names(question.answered);
-  view["notReached"] = names(question.awaited);
-  view["notAsked"] = question.notAsked;
-  view["dropped"] = question.dropped;
-  view["truncated"] = question.truncated;
+  view["events"] = std::move(lookup.events);
+  view["answered"] = names(lookup.answered);
+  view["notReached"] = names(lookup.awaited);
+  view["notAsked"] = lookup.notAsked;
+  view["dropped"] = lookup.dropped;
+  view["truncated"] = lookup.truncated;
   constexpr unsigned kOk = 200;
-  context.outbox.emplace_back(JsonAnswer(question.exchange, kOk, view));
+  context.outbox.emplace_back(JsonAnswer(lookup.exchange, kOk, view));
 }
 
 void AdminQueries::OnCallerGone(ExchangeId exchange)
@@ -253,16 +253,16 @@
 void AdminQueries::Tick(ControlContext& context)
 {
   std::erase_if(m_requests, [&](const auto& item) {
-    const RequestQuestion& question = item.second;
-    if (context.now - question.asked < kTimeout) {
+    const RequestLookup& lookup = item.second;
+    if (context.now - lookup.asked < kTimeout) {
       return false;
     }
     Refuse(context,
-           question.exchange,
+           lookup.exchange,
            kGatewayTimeout,
            ErrorCode::kTimeout,
-           "look up request " + question.request,
-           question.entry.Get(),
+           "look up request " + lookup.request,
+           lookup.entry.Get(),
            "the entry did not answer in time");
     return true;
   });
--- a/src/control/catalogue_table.cpp
+++ b/src/control/catalogue_table.cpp
@@ -27,7 +27,7 @@
   return bytes;
 }
 
-std::string Title(const wire::CatalogueItemT& item)
+std::string Describe(const wire::CatalogueItemT& item)
 {
   return std::string(KindName(item.kind)) + " " + item.name;
 }
@@ -57,7 +57,7 @@
 
 /// \brief Result of checking a change: the reason for a refusal, and the current entries whose
 /// revisions conflict with it.
-struct CatalogueTable::Verdict
+struct CatalogueTable::CheckResult
 {
   std::string refusal;
   std::vector<const wire::CatalogueItemT*> current;
@@ -76,9 +76,9 @@
   return found == m_items.end() || found->second.deleted ? nullptr : &found->second;
 }
 
-CatalogueTable::Verdict CatalogueTable::Judge(const wire::ChangeCatalogueT& change) const
+CatalogueTable::CheckResult CatalogueTable::Check(const wire::ChangeCatalogueT& change) const
 {
-  Verdict verdict;
+  CheckResult result;
   std::set<Key> written;
   std::size_t bytes = m_itemBytes;
   for (const auto& write : change.writes) {
@@ -86,27 +86,27 @@
     const wire::CatalogueItemT* current = Find(item.kind, item.name);
     const std::uint64_t revision = current != nullptr ? current->revision : 0;
     if (!written.emplace(item.kind, item.name).second) {
-      verdict.Refuse(Title(item) + " is written twice in one change", nullptr);
+      result.Refuse(Describe(item) + " is written twice in one change", nullptr);
     }
     // Without this check, of two operators who read the same revision the later would overwrite the
     // earlier one's write, which was already acknowledged.
     if (write->expectedRevision != kAnyRevision && write->expectedRevision != revision) {
-      verdict.Refuse(Title(item) + " has revision " + std::to_string(revision) + ", not " +
-                       std::to_string(write->expectedRevision),
-                     current);
+      result.Refuse(Describe(item) + " has revision " + std::to_string(revision) + ", not " +
+                      std::to_string(write->expectedRevision),
+                    current);
     } else if (write->remove && current == nullptr) {
-      verdict.Refuse(Title(item) + " does not exist", nullptr);
+      result.Refuse(Describe(item) + " does not exist", nullptr);
     }
     bytes += write->remove ? 0 : BytesOf(item);
   }
   if (bytes > kMaxItemBytes || m_items.size() + change.writes.size() > kMaxItems) {
-    verdict.Refuse("the catalogue is full: " + std::to_string(m_items.size()) + " of " +
-                     std::to_string(kMaxItems) + " entries, " + std::to_string(m_itemBytes) +
-                     " of " + std::to_string(kMaxItemBytes) + " bytes",
-                   nullptr);
+    result.Refuse("the catalogue is full: " + std::to_string(m_items.size()) + " of " +
+                    std::to_string(kMaxItems) + " entries, " + std::to_string(m_itemBytes) +
+                    " of " + std::to_string(kMaxItemBytes) + " bytes",
+                  nullptr);
   }
-  if (!verdict.refusal.empty()) {
-    return verdict;
+  if (!result.refusal.empty()) {
+    return result;
   }
 
   // Check names and tokens that must be unique in the whole catalogue on the state after the
@@ -133,17 +133,17 @@
   for (const auto& [key, item] : after) {
     if (key.first == wire::EntryKind::Service &&
         after.contains(Key(wire::EntryKind::Model, key.second))) {
-      verdict.Refuse(key.second + " would be both a model and a service", nullptr);
+      result.Refuse(key.second + " would be both a model and a service", nullptr);
     }
     if (writesWorkspace && key.first == wire::EntryKind::Workspace) {
       const auto [other, isNew] = workspaceByToken.emplace(TokenHashOf(*item), key.second);
       if (!isNew) {
-        verdict.Refuse(
-          "workspaces " + other->second + " and " + key.second + " would share a token", nullptr);
+        result.Refuse("workspaces " + other->second + " and " + key.second + " would share a token",
+                      nullptr);
       }
     }
   }
-  return verdict;
+  return result;
 }
 
 void CatalogueTable::Write(LogIndex index,
@@ -185,10 +185,10 @@
   record.index = index.Get();
   record.digest = DigestOf(change);
 
-  const Verdict verdict = Judge(change);
-  record.ok = verdict.refusal.empty();
-  record.detail = verdict.refusal;
-  for (const wire::CatalogueItemT* item : verdict.current) {
+  const CheckResult result = Check(change);
+  record.ok = result.refusal.empty();
+  record.detail = result.refusal;
+  for (const wire::CatalogueItemT* item : result.current) {
     record.items.push_back(Copy(*item));
   }
   if (record.ok) {
@@ -196,12 +196,12 @@
       Write(index, *write, record);
     }
     m_version = index;
-    ForgetOldRemovals();
+    PruneRemovals();
   }
-  Remember(std::move(record));
+  AddChange(std::move(record));
 }
 
-void CatalogueTable::Remember(wire::ChangeRecordT record)
+void CatalogueTable::AddChange(wire::ChangeRecordT record)
 {
   m_changeById[record.changeId] = m_firstChange + m_changes.size();
   m_changeBytes += BytesOf(record);
@@ -215,7 +215,7 @@
   }
 }
 
-void CatalogueTable::ForgetOldRemovals()
+void CatalogueTable::PruneRemovals()
 {
   std::vector<std::pair<std::uint64_t, Key>> removals;
   for (const auto& [key, item] : m_items) {
@@ -229,7 +229,7 @@
   std::sort(removals.begin(), removals.end());
   removals.resize(removals.size() - kMaxRemovals);
   for (const auto& [version, key] : removals) {
-    m_forgottenRemovals = std::max(m_forgottenRemovals, version);
+    m_prunedVersion = std::max(m_prunedVersion, version);
     m_itemBytes -= BytesOf(m_items.at(key));
     m_items.erase(key);
   }
@@ -241,7 +241,7 @@
   state.version = m_version.Get();
   // A version newer than m_version is not from this log; the receiver ignores versions that are not
   // newer than its own.
-  const bool whole = haveVersion.IsNone() || haveVersion.Get() < m_forgottenRemovals;
+  const bool whole = haveVersion.IsNone() || haveVersion.Get() < m_prunedVersion;
   state.fromVersion = whole ? 0 : haveVersion.Get();
   for (const auto& [key, item] : m_items) {
     const bool wanted = whole ? !item.deleted : item.version > haveVersion.Get();
@@ -275,13 +275,13 @@
   m_version = LogIndex(snapshot.catalogueVersion);
   // The snapshot doesn't tell which removals were pruned; sending the whole catalogue is always
   // correct.
-  m_forgottenRemovals = snapshot.catalogueVersion;
+  m_prunedVersion = snapshot.catalogueVersion;
   for (const auto& item : snapshot.items) {
     m_itemBytes += BytesOf(*item);
     m_items.emplace(Key(item->kind, item->name), *item);
   }
   for (const auto& change : snapshot.changes) {
-    Remember(*change);
+    AddChange(*change);
   }
 }
 
--- a/src/control/config_service.cpp
+++ b/src/control/config_service.cpp
@@ -9,7 +9,7 @@
 constexpr std::size_t kMaxWaiting = 20'000;
 constexpr Duration kWaitLimit = std::chrono::seconds(5);
 constexpr Duration kCheckInterval = std::chrono::milliseconds(250);
-constexpr std::size_t kMaxForceTimes = 512;
+constexpr std::size_t kMaxInForceTimes = 512;
 
 bool TakesConfiguration(const PeerRow& peer)
 {
@@ -22,9 +22,9 @@
                             const ProcessId& peer,
                             const wire::ConfigQueryT& query)
 {
-  if (m_waiting.size() < kMaxWaiting) {
-    m_waiting.push_back(
-      Waiting{ peer, query.nonce, LogIndex(query.haveVersion), TakeTicket(context) });
+  if (m_waitingQueries.size() < kMaxWaiting) {
+    m_waitingQueries.push_back(
+      WaitingQuery{ peer, query.nonce, LogIndex(query.haveVersion), TakeTicket(context) });
   }
 }
 
@@ -40,9 +40,9 @@
 
 void ConfigService::OnLeaderStart(const ControlContext& context)
 {
-  m_waiting.clear();
-  m_everywhereAt.clear();
-  m_pushed = context.state.GetCatalogue().Version();
+  m_waitingQueries.clear();
+  m_inForceEverywhereAt.clear();
+  m_pushedVersion = context.state.GetCatalogue().Version();
 }
 
 void ConfigService::Tick(ControlContext& context)
@@ -51,7 +51,7 @@
   PushNewVersion(context);
   if (context.now >= m_nextCheck) {
     m_nextCheck = context.now + kCheckInterval;
-    NoteInForceEverywhere(context);
+    RecordInForceEverywhere(context);
   }
 }
 
@@ -61,29 +61,30 @@
   // not aware of being deposed can't confirm that: its answer would keep an outdated copy in use
   // after its successor has changed the catalogue. So each answer waits until a quorum has
   // confirmed the leader.
-  while (!m_waiting.empty() && IsConfirmed(context, m_waiting.front().ticket)) {
-    const Waiting waiting = m_waiting.front();
-    m_waiting.pop_front();
+  while (!m_waitingQueries.empty() && IsConfirmed(context, m_waitingQueries.front().ticket)) {
+    const WaitingQuery waiting = m_waitingQueries.front();
+    m_waitingQueries.pop_front();
     wire::ConfigStateT state = context.state.GetCatalogue().StateSince(waiting.haveVersion);
     state.nonce = waiting.nonce;
     state.leaderTerm = context.replication.term.Get();
     context.SendMessage(waiting.peer, std::move(state));
   }
-  while (!m_waiting.empty() && context.now - m_waiting.front().ticket.asked > kWaitLimit) {
-    m_waiting.pop_front();
+  while (!m_waitingQueries.empty() &&
+         context.now - m_waitingQueries.front().ticket.asked > kWaitLimit) {
+    m_waitingQueries.pop_front();
   }
 }
 
 void ConfigService::PushNewVersion(ControlContext& context)
 {
   const LogIndex version = context.state.GetCatalogue().Version();
-  if (version <= m_pushed) {
+  if (version <= m_pushedVersion) {
     return;
   }
   // Nonce 0 belongs to no query: the message delivers the change at once but confirms nothing. It
   // goes to entries only. Agents see the new version in their next lease grant or heartbeat and
   // query it, which saves the leader a frame to every target VM.
-  wire::ConfigStateT state = context.state.GetCatalogue().StateSince(m_pushed);
+  wire::ConfigStateT state = context.state.GetCatalogue().StateSince(m_pushedVersion);
   state.leaderTerm = context.replication.term.Get();
   const auto envelope = MakeEnvelope(std::move(state));
   for (const auto& [process, peer] : context.peers) {
@@ -91,7 +92,7 @@
       context.Send(process, envelope);
     }
   }
-  m_pushed = version;
+  m_pushedVersion = version;
 }
 
 const ConfigService::InForce* ConfigService::FindInForce(const ProcessId& process) const
@@ -124,10 +125,10 @@
   return lagging;
 }
 
-void ConfigService::NoteInForceEverywhere(const ControlContext& context)
+void ConfigService::RecordInForceEverywhere(const ControlContext& context)
 {
   LogIndex everywhere = context.state.GetCatalogue().Version();
-  if (m_everywhereAt.contains(everywhere)) {
+  if (m_inForceEverywhereAt.contains(everywhere)) {
     return;
   }
   const Duration limit = context.catalogue.Policy().confirmationLimit;
@@ -142,11 +143,11 @@
     if (!change->ok || LogIndex(change->index) > everywhere) {
       continue;
     }
-    if (!m_everywhereAt.emplace(LogIndex(change->index), context.wallMillis).second) {
+    if (!m_inForceEverywhereAt.emplace(LogIndex(change->index), context.wallMillis).second) {
       break; // Already recorded, as are all earlier changes.
     }
-    if (m_everywhereAt.size() >= kMaxForceTimes) {
-      m_everywhereAt.erase(m_everywhereAt.begin());
+    if (m_inForceEverywhereAt.size() >= kMaxInForceTimes) {
+      m_inForceEverywhereAt.erase(m_inForceEverywhereAt.begin());
       break;
     }
   }
@@ -154,8 +155,8 @@
 
 std::optional<WallMillis> ConfigService::InForceEverywhereAt(LogIndex version) const
 {
-  const auto found = m_everywhereAt.find(version);
-  return found == m_everywhereAt.end() ? std::nullopt : std::optional(found->second);
+  const auto found = m_inForceEverywhereAt.find(version);
+  return found == m_inForceEverywhereAt.end() ? std::nullopt : std::optional(found->second);
 }
 
 } // namespace gooseberrysail
--- a/src/control/context.cpp
+++ b/src/control/context.cpp
@@ -6,7 +6,7 @@
 
 constexpr Duration kFreshQuorum = std::chrono::seconds(1);
 /// About what one write to the socket takes; a longer queue only delays newer state.
-constexpr std::size_t kQueueRoomBytes = 64 * 1024;
+constexpr std::size_t kMaxQueuedBytes = 64 * 1024;
 
 } // namespace
 
@@ -32,7 +32,7 @@
 
 bool ControlContext::HasQueueCapacity(const ProcessId& peer) const
 {
-  return queuedBytes == nullptr || !*queuedBytes || (*queuedBytes)(peer) < kQueueRoomBytes;
+  return queuedBytes == nullptr || !*queuedBytes || (*queuedBytes)(peer) < kMaxQueuedBytes;
 }
 
 bool ControlContext::IsUp(const ProcessId& peer) const
--- a/src/control/control_role.cpp
+++ b/src/control/control_role.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-PlanHook OwnPlanner()
+PlanHook MakeDefaultPlanner()
 {
   const auto planner = std::make_shared<PlacementPlanner>();
   return [planner](TimePoint now, const PlannerInput& input) { return planner->Plan(now, input); };
@@ -29,34 +29,34 @@
     : settings(std::move(controlSettings))
     , hooks(std::move(controlHooks))
     , proposer(hooks.propose)
-    , planning(hooks.plan ? hooks.plan : OwnPlanner())
+    , planning(hooks.plan ? hooks.plan : MakeDefaultPlanner())
     , serving(hooks.outside, settings.engineGroups)
   {
   }
 
   void Apply(LogIndex index, std::span<const std::uint8_t> command);
-  void NoteApplied(LogIndex index, const ControlState::Applied& applied);
-  void NoteChange(LogIndex index);
+  void RecordApplied(LogIndex index, const ControlState::Applied& applied);
+  void RecordCatalogueChange(LogIndex index);
   void Tick(TimePoint now,
             const ReplicationStatus& replication,
             std::span<const ControlInput> inbox,
             std::vector<ControlOutput>& outbox);
 
-  void FollowLeadership(ControlContext& context);
-  void FollowCatalogue();
-  void FollowMembers(const ReplicationStatus& replication);
+  void UpdateLeadership(ControlContext& context);
+  void UpdateCatalogue();
+  void UpdateControls(const ReplicationStatus& replication);
   void RunSystems(ControlContext& context);
   void FinishStopping(ControlContext& context);
 
-  void Take(ControlContext& context, const PeerUp& input);
-  void Take(ControlContext& context, const PeerDown& input);
-  void Take(ControlContext& context, const FrameIn& input);
-  void Take(ControlContext& context, const HttpRequestIn& input);
-  void Take(ControlContext& context, const HttpCallerGone& input);
-  void Take(ControlContext& context, const TargetAnswerIn& input);
-  void Take(ControlContext& context, const TargetFailedIn& input);
-  void Take(ControlContext& context, const StopRequested& input);
-  void TakeAsLeader(ControlContext& context, const ProcessId& peer, const wire::BodyUnion& body);
+  void Handle(ControlContext& context, const PeerUp& input);
+  void Handle(ControlContext& context, const PeerDown& input);
+  void Handle(ControlContext& context, const FrameIn& input);
+  void Handle(ControlContext& context, const HttpRequestIn& input);
+  void Handle(ControlContext& context, const HttpCallerGone& input);
+  void Handle(ControlContext& context, const TargetAnswerIn& input);
+  void Handle(ControlContext& context, const TargetFailedIn& input);
+  void Handle(ControlContext& context, const StopRequested& input);
+  void HandleAsLeader(ControlContext& context, const ProcessId& peer, const wire::BodyUnion& body);
 
   [[nodiscard]] AdminSources Sources() const { return { membership, config, routes }; }
 
@@ -90,10 +90,10 @@
 void ControlRole::Impl::Apply(LogIndex index, std::span<const std::uint8_t> command)
 {
   const ControlState::Applied applied = state.Apply(index, command);
-  NoteApplied(index, applied);
+  RecordApplied(index, applied);
 }
 
-void ControlRole::Impl::NoteApplied(LogIndex index, const ControlState::Applied& applied)
+void ControlRole::Impl::RecordApplied(LogIndex index, const ControlState::Applied& applied)
 {
   const std::string at = std::to_string(index.Get());
   if (!applied.refusal.empty()) {
@@ -106,7 +106,7 @@
   const std::string group = std::to_string(applied.group.Get());
   switch (applied.kind) {
     case wire::CommandBody::ChangeCatalogue:
-      NoteChange(index);
+      RecordCatalogueChange(index);
       break;
     case wire::CommandBody::FormGroup: {
       const GroupRow& row = *state.GetGroups().FindGroup(applied.group);
@@ -134,7 +134,7 @@
   }
 }
 
-void ControlRole::Impl::NoteChange(LogIndex index)
+void ControlRole::Impl::RecordCatalogueChange(LogIndex index)
 {
   const auto& changes = state.GetCatalogue().Changes();
   if (changes.empty() || changes.back().index != index.Get()) {
@@ -153,7 +153,7 @@
   events.push_back(std::move(event));
 }
 
-void ControlRole::Impl::FollowCatalogue()
+void ControlRole::Impl::UpdateCatalogue()
 {
   if (catalogue.Version() == state.GetCatalogue().Version()) {
     return;
@@ -169,7 +169,7 @@
   }
 }
 
-void ControlRole::Impl::FollowMembers(const ReplicationStatus& replication)
+void ControlRole::Impl::UpdateControls(const ReplicationStatus& replication)
 {
   if (!hooks.addressOf || replication.members.empty()) {
     controls = settings.controls;
@@ -186,8 +186,8 @@
                              std::span<const ControlInput> inbox,
                              std::vector<ControlOutput>& outbox)
 {
-  FollowCatalogue();
-  FollowMembers(replication);
+  UpdateCatalogue();
+  UpdateControls(replication);
   for (EventOut& event : events) {
     outbox.emplace_back(std::move(event));
   }
@@ -206,9 +206,9 @@
                           .ready = false,
                           .outbox = outbox,
                           .queuedBytes = &hooks.queuedBytes };
-  FollowLeadership(context);
+  UpdateLeadership(context);
   for (const ControlInput& input : inbox) {
-    std::visit([&](const auto& value) { Take(context, value); }, input);
+    std::visit([&](const auto& value) { Handle(context, value); }, input);
   }
   if (context.ready) {
     RunSystems(context);
@@ -229,7 +229,7 @@
   admin.Tick(context, Sources());
 }
 
-void ControlRole::Impl::FollowLeadership(ControlContext& context)
+void ControlRole::Impl::UpdateLeadership(ControlContext& context)
 {
   const ReplicationStatus& replication = context.replication;
   const Term leads = replication.leader ? replication.term : Term();
@@ -277,7 +277,7 @@
   }
 }
 
-void ControlRole::Impl::Take(ControlContext& context, const PeerUp& input)
+void ControlRole::Impl::Handle(ControlContext& context, const PeerUp& input)
 {
   peers[input.peer] = PeerRow{ input.role, input.incarnation, input.address, true, context.now };
   if (input.role == "entry") {
@@ -286,7 +286,7 @@
   serving.OnPeerUp(context, input.peer);
 }
 
-void ControlRole::Impl::Take(ControlContext& context, const PeerDown& input)
+void ControlRole::Impl::Handle(ControlContext& context, const PeerDown& input)
 {
   const auto found = peers.find(input.peer);
   if (found == peers.end() || found->second.incarnation != input.incarnation) {
@@ -299,7 +299,7 @@
   serving.OnPeerDown(input.peer);
 }
 
-void ControlRole::Impl::Take(ControlContext& context, const FrameIn& input)
+void ControlRole::Impl::Handle(ControlContext& context, const FrameIn& input)
 {
   const wire::BodyUnion& body = input.envelope->body;
   if (body.type == wire::Body::Announce) {
@@ -310,13 +310,13 @@
   } else if (body.type == wire::Body::TargetsHeard || body.type == wire::Body::ServingQuery) {
     serving.OnFrame(context, input.peer, body);
   } else if (context.ready) {
-    TakeAsLeader(context, input.peer, body);
+    HandleAsLeader(context, input.peer, body);
   }
 }
 
-void ControlRole::Impl::TakeAsLeader(ControlContext& context,
-                                     const ProcessId& peer,
-                                     const wire::BodyUnion& body)
+void ControlRole::Impl::HandleAsLeader(ControlContext& context,
+                                       const ProcessId& peer,
+                                       const wire::BodyUnion& body)
 {
   switch (body.type) {
     case wire::Body::ConfigQuery:
@@ -359,34 +359,34 @@
   }
 }
 
-void ControlRole::Impl::Take(ControlContext& context, const HttpRequestIn& input)
+void ControlRole::Impl::Handle(ControlContext& context, const HttpRequestIn& input)
 {
   if (!serving.OnRequest(context, input)) {
     admin.OnRequest(context, input, Sources());
   }
 }
 
-void ControlRole::Impl::Take(ControlContext&, const HttpCallerGone& input)
+void ControlRole::Impl::Handle(ControlContext&, const HttpCallerGone& input)
 {
   admin.OnCallerGone(input.exchange);
   serving.OnCallerGone(input.exchange);
 }
 
-void ControlRole::Impl::Take(ControlContext& context, const TargetAnswerIn& input)
+void ControlRole::Impl::Handle(ControlContext& context, const TargetAnswerIn& input)
 {
   serving.OnOrderAnswer(context, input);
 }
 
-void ControlRole::Impl::Take(ControlContext& context, const TargetFailedIn& input)
+void ControlRole::Impl::Handle(ControlContext& context, const TargetFailedIn& input)
 {
   serving.OnOrderFailed(context, input);
 }
 
-void ControlRole::Impl::Take(ControlContext& context, const StopRequested&)
+void ControlRole::Impl::Handle(ControlContext& context, const StopRequested&)
 {
   if (!stopSince) {
     stopSince = context.now;
-    admin.StopTaking();
+    admin.StopAccepting();
     context.outbox.emplace_back(MakeEvent(EventNumber::kProcessStopping,
                                           { { "inFlight", std::to_string(admin.OpenCalls()) } }));
   }
--- a/src/control/control_state.cpp
+++ b/src/control/control_state.cpp
@@ -71,14 +71,14 @@
       m_startedTerm = Term(body.AsLeaderStart()->term);
       return {};
     case wire::CommandBody::PutDocument:
-      return Put(*body.AsPutDocument());
+      return ApplyPutDocument(*body.AsPutDocument());
   }
   return "a command of an unknown kind";
 }
 
 // Two operators may send documents concurrently, and an older document may be sent again. The log
 // decides their order, and the version in force never decreases.
-std::string ControlState::Put(const wire::PutDocumentT& put)
+std::string ControlState::ApplyPutDocument(const wire::PutDocumentT& put)
 {
   if (put.version <= m_document.version) {
     return "a document of version " + std::to_string(m_document.version) + " is in force";
--- a/src/control/document_service.cpp
+++ b/src/control/document_service.cpp
@@ -11,7 +11,7 @@
 using namespace std::chrono_literals;
 
 /// Callers try another process after one second without an answer.
-constexpr Duration kAnswerWithin = 950ms;
+constexpr Duration kAnswerTimeout = 950ms;
 /// Limits the memory that open calls take.
 constexpr std::size_t kMaxOpenCalls = 64;
 
@@ -45,7 +45,7 @@
     return;
   }
   Put put{ exchange, document.value().version, std::move(text), context.now };
-  if (Settle(context, put, respond)) {
+  if (TryAnswer(context, put, respond)) {
     return;
   }
   wire::PutDocumentT command;
@@ -60,7 +60,7 @@
 
 // An applied document is committed: a majority has synced it to disk, so it survives every failure
 // that the installation tolerates. The applied state alone is enough to acknowledge it.
-bool DocumentService::Settle(ControlContext& context, const Put& put, const Respond& respond)
+bool DocumentService::TryAnswer(ControlContext& context, const Put& put, const Respond& respond)
 {
   const StoredDocument& stored = context.state.GetDocument();
   if (stored.version < put.version) {
@@ -95,10 +95,10 @@
 void DocumentService::Tick(ControlContext& context, const Respond& respond)
 {
   std::erase_if(m_puts, [&](const Put& put) {
-    if (Settle(context, put, respond)) {
+    if (TryAnswer(context, put, respond)) {
       return true;
     }
-    const bool late = context.now - put.since > kAnswerWithin;
+    const bool late = context.now - put.since > kAnswerTimeout;
     if (late) {
       respond(put.exchange, Unavailable("not committed in time; it may still be"));
     }
@@ -112,7 +112,7 @@
                                   : OutsideAnswer{ OutsideStatus::kDone, stored.text, {}, {} });
       return true;
     }
-    const bool late = context.now - read.ticket.asked > kAnswerWithin;
+    const bool late = context.now - read.ticket.asked > kAnswerTimeout;
     if (late) {
       respond(read.exchange, Unavailable("no quorum confirmed this leader"));
     }
--- a/src/control/membership.cpp
+++ b/src/control/membership.cpp
@@ -9,12 +9,12 @@
 namespace {
 
 /// \brief Maximum delay of group timers; observed changes are processed in the next tick.
-constexpr Duration kTendInterval = std::chrono::milliseconds(250);
+constexpr Duration kReconcileInterval = std::chrono::milliseconds(250);
 constexpr Duration kSweepInterval = std::chrono::seconds(10);
-constexpr Duration kForgetVmAfter = std::chrono::hours(1);
+constexpr Duration kRemoveVmAfter = std::chrono::hours(1);
 constexpr Duration kReportWaitLimit = std::chrono::seconds(5);
 constexpr std::size_t kMaxWaitingReports = 20'000;
-constexpr Duration kCutGrace = std::chrono::milliseconds(0);
+constexpr Duration kNoGrace = std::chrono::milliseconds(0);
 
 std::string Key(const char* what, GroupId group)
 {
@@ -44,7 +44,7 @@
 }
 
 /// \brief Whether the peer is the recorded agent of the VM.
-bool SpeaksFor(const ControlContext& context, const ProcessId& peer, const VmId& vm)
+bool IsAgentOf(const ControlContext& context, const ProcessId& peer, const VmId& vm)
 {
   const VmRow* row = context.state.GetGroups().FindVm(vm);
   return row != nullptr && row->record.process == peer.Get();
@@ -151,7 +151,7 @@
                                      const wire::AssignReplyT& reply)
 {
   const auto found = m_groups.find(GroupId(reply.group));
-  if (found != m_groups.end() && reply.accepted && SpeaksFor(context, peer, VmId(reply.vm))) {
+  if (found != m_groups.end() && reply.accepted && IsAgentOf(context, peer, VmId(reply.vm))) {
     found->second.accepted.insert(VmId(reply.vm));
   }
 }
@@ -162,7 +162,7 @@
 {
   const auto found = m_groups.find(GroupId(released.group));
   const bool sameEpoch = released.epoch == released.group;
-  if (found != m_groups.end() && sameEpoch && SpeaksFor(context, peer, VmId(released.vm))) {
+  if (found != m_groups.end() && sameEpoch && IsAgentOf(context, peer, VmId(released.vm))) {
     found->second.released.insert(VmId(released.vm));
     found->second.nextOrders = TimePoint{};
     ++m_observations;
@@ -194,7 +194,7 @@
   for (const std::string& vm : report.missing) {
     live.missing.emplace_back(vm);
   }
-  NoteBroken(context, *row, live);
+  UpdateBrokenSince(context, *row, live);
 }
 
 bool TargetMembership::MayHoldLease(const ControlContext& context,
@@ -203,7 +203,7 @@
 {
   const GroupRow* row = context.state.GetGroups().FindGroup(GroupId(report.group));
   return row != nullptr && !row->dissolved && report.epoch == row->group.Get() &&
-         row->head.Get() == report.vm && SpeaksFor(context, peer, row->head);
+         row->head.Get() == report.vm && IsAgentOf(context, peer, row->head);
 }
 
 void TargetMembership::AnswerReports(ControlContext& context)
@@ -300,27 +300,28 @@
 {
   AnswerReports(context);
   const GroupTable& table = context.state.GetGroups();
-  const bool news = table.Revision() != m_tendedRevision || m_observations != m_tendedObservations;
-  if (!news && context.now < m_nextTend) {
+  const bool isChanged =
+    table.Revision() != m_reconciledRevision || m_observations != m_reconciledObservations;
+  if (!isChanged && context.now < m_nextReconcile) {
     return;
   }
-  m_nextTend = context.now + kTendInterval;
-  m_tendedObservations = m_observations;
-  if (table.Revision() != m_tendedRevision) {
-    m_tendedRevision = table.Revision();
+  m_nextReconcile = context.now + kReconcileInterval;
+  m_reconciledObservations = m_observations;
+  if (table.Revision() != m_reconciledRevision) {
+    m_reconciledRevision = table.Revision();
     std::erase_if(m_groups,
                   [&](const auto& item) { return table.FindGroup(item.first) == nullptr; });
   }
-  TendGroups(context);
-  DrainLeaving(context);
+  ReconcileGroups(context);
+  DrainGroupsOfLeavingVms(context);
   if (context.now >= m_nextSweep) {
     m_nextSweep = context.now + kSweepInterval;
-    ForgetVms(context);
+    RemoveSilentVms(context);
     context.proposer.Forget(context.now);
   }
 }
 
-void TargetMembership::TendGroups(ControlContext& context)
+void TargetMembership::ReconcileGroups(ControlContext& context)
 {
   const bool mayOrder = context.HasFreshQuorum();
   for (const auto& [group, row] : context.state.GetGroups().Groups()) {
@@ -329,14 +330,14 @@
     if (live.firstSeen == TimePoint{}) {
       live.firstSeen = context.now;
     }
-    NoteBroken(context, row, live);
+    UpdateBrokenSince(context, row, live);
     if (!mayOrder) {
       continue;
     }
     if (row.dissolved) {
-      TendDissolved(context, row, live);
+      ReconcileDissolved(context, row, live);
     } else if (row.draining) {
-      TendDraining(context, row, live);
+      ReconcileDraining(context, row, live);
     } else if (live.accepted.size() < row.members.size() && context.now >= live.nextOrders) {
       live.nextOrders = context.now + kOrderInterval;
       SendAssigns(context, row, live);
@@ -344,9 +345,9 @@
   }
 }
 
-void TargetMembership::NoteBroken(const ControlContext& context,
-                                  const GroupRow&,
-                                  GroupRuntimeState& live) const
+void TargetMembership::UpdateBrokenSince(const ControlContext& context,
+                                         const GroupRow&,
+                                         GroupRuntimeState& live) const
 {
   const TimePoint heard = std::max({ live.lastReport, live.firstSeen, context.leaderSince });
   const bool silent = context.now - heard >= kReportTimeout;
@@ -401,9 +402,9 @@
   context.SendMessage(agent, release);
 }
 
-void TargetMembership::TendDraining(ControlContext& context,
-                                    const GroupRow& row,
-                                    GroupRuntimeState& live)
+void TargetMembership::ReconcileDraining(ControlContext& context,
+                                         const GroupRow& row,
+                                         GroupRuntimeState& live)
 {
   if (!live.drainSince) {
     live.drainSince = context.now;
@@ -427,9 +428,9 @@
   }
 }
 
-void TargetMembership::TendDissolved(ControlContext& context,
-                                     const GroupRow& row,
-                                     GroupRuntimeState& live)
+void TargetMembership::ReconcileDissolved(ControlContext& context,
+                                          const GroupRow& row,
+                                          GroupRuntimeState& live)
 {
   const bool leaseEnded = context.now >= LeaseEnd(context, row.group);
   // The head is released first: a member freed while the head may still serve would be in two
@@ -451,12 +452,12 @@
       context.proposer.ProposeOnce(context.now, Key("free ", row.group) + " " + vm.Get(), command);
     }
     if (sendNow && !released && (headDone || vm == row.head)) {
-      SendRelease(context, row, vm, kCutGrace);
+      SendRelease(context, row, vm, kNoGrace);
     }
   }
 }
 
-void TargetMembership::DrainLeaving(ControlContext& context)
+void TargetMembership::DrainGroupsOfLeavingVms(ControlContext& context)
 {
   const auto drain = [&](const VmId& vm) {
     const VmRow* row = context.state.GetGroups().FindVm(vm);
@@ -480,14 +481,14 @@
   }
 }
 
-void TargetMembership::ForgetVms(ControlContext& context)
+void TargetMembership::RemoveSilentVms(ControlContext& context)
 {
-  if (context.now - context.leaderSince < kForgetVmAfter) {
+  if (context.now - context.leaderSince < kRemoveVmAfter) {
     return;
   }
   for (const auto& [vm, row] : context.state.GetGroups().Vms()) {
     const VmRuntimeState* live = FindVm(vm);
-    const bool silent = live == nullptr || context.now - live->lastHeard >= kForgetVmAfter;
+    const bool silent = live == nullptr || context.now - live->lastHeard >= kRemoveVmAfter;
     if (silent && row.group.IsNone()) {
       wire::RemoveVmT command;
       command.vm = vm.Get();
@@ -496,7 +497,7 @@
   }
   std::erase_if(m_vms, [&](const auto& item) {
     return !item.second.connected && !item.second.leaving &&
-           context.now - item.second.lastHeard >= kForgetVmAfter;
+           context.now - item.second.lastHeard >= kRemoveVmAfter;
   });
 }
 
--- a/src/control/serving_feed.cpp
+++ b/src/control/serving_feed.cpp
@@ -12,24 +12,24 @@
 using namespace std::chrono_literals;
 
 /// An entry queries every 500 ms; one without a query for this long is removed.
-constexpr Duration kEntryGone = 3s;
+constexpr Duration kEntryTimeout = 3s;
 /// A disconnected entry reconnects with its next query; after two missed queries its callers are
 /// taken to use other entries.
-constexpr Duration kReconnectTime = 1s;
+constexpr Duration kReconnectTimeout = 1s;
 /// Long enough to smooth Poisson arrivals of about 10 requests a second, and short enough to follow
 /// a burst within a few seconds.
 constexpr double kDemandMemorySeconds = 3;
 /// Smaller differences are within the variation of Poisson arrivals over kDemandMemorySeconds.
-constexpr double kPartChange = 0.04;
+constexpr double kMinPartChange = 0.04;
 /// An entry with few recent requests keeps at least this fraction of an even part.
-constexpr double kLeastPart = 0.4;
+constexpr double kMinPart = 0.4;
 
-/// Whether parts of models' requests, or shares of heads' slots, differ by at least kPartChange.
+/// Whether parts of models' requests, or shares of heads' slots, differ by at least kMinPartChange.
 template<class Key>
 bool Differ(const std::map<Key, double>& left, const std::map<Key, double>& right)
 {
   return !std::ranges::equal(left, right, [](const auto& former, const auto& now) {
-    return former.first == now.first && std::abs(former.second - now.second) < kPartChange;
+    return former.first == now.first && std::abs(former.second - now.second) < kMinPartChange;
   });
 }
 
@@ -53,8 +53,8 @@
   m_targets.Reset();
   m_urgentSequence = 0;
   m_heads.clear();
-  m_isDivided = false;
-  m_firstAskedAt = TimePoint{};
+  m_areSharesCurrent = false;
+  m_firstQueryAt = TimePoint{};
 }
 
 void ServingFeed::OnQuery(ControlContext& context,
@@ -69,16 +69,16 @@
                                             { "document", std::to_string(query.haveDocument) },
                                             { "targets", std::to_string(query.haveTargets) } }));
   }
-  if (m_firstAskedAt == TimePoint{}) {
-    m_firstAskedAt = context.now;
+  if (m_firstQueryAt == TimePoint{}) {
+    m_firstQueryAt = context.now;
   }
-  entry.heardAt = context.now;
+  entry.lastQueryAt = context.now;
   entry.isConnected = true;
   entry.failureDomain = FailureDomainId(query.failureDomain);
-  NoteHave(context, entry, query);
+  UpdateSentState(context, entry, query);
   m_hasTraffic = m_hasTraffic || !query.demand.empty();
   for (const auto& demand : query.demand) {
-    NoteDemand(context.now, entry, *demand);
+    RecordDemand(context.now, entry, *demand);
   }
   entry.steps.clear();
   for (const auto& head : query.heads) {
@@ -86,7 +86,7 @@
       entry.steps[InstanceId(head->instance)] = std::chrono::milliseconds(head->stepMillis);
     }
     const Duration ago = std::chrono::milliseconds(head->answeredAgoMillis);
-    if (ago < kAnsweredLately) {
+    if (ago < kRecentAnswerWindow) {
       entry.answeredAt[InstanceId(head->instance)] = context.now - ago;
     }
     if (head->failing) {
@@ -99,17 +99,17 @@
 // query may have been sent before that state arrived, and a document sent again for each such query
 // would fill a slow link with copies. After a restart or a reconnect of the entry, everything is
 // sent again.
-void ServingFeed::NoteHave(const ControlContext& context,
-                           Entry& entry,
-                           const wire::ServingQueryT& query) const
+void ServingFeed::UpdateSentState(const ControlContext& context,
+                                  Entry& entry,
+                                  const wire::ServingQueryT& query) const
 {
   const bool isCurrentTerm = query.haveTerm == context.replication.term.Get();
-  entry.knowsTargets = query.haveTargets != 0 && !(isCurrentTerm && !m_isWhole);
+  entry.hasTargets = query.haveTargets != 0 && !(isCurrentTerm && !m_areTargetsComplete);
   const std::uint64_t targets = isCurrentTerm ? query.haveTargets : 0;
-  Supplied& supplied = entry.supplied;
-  const bool isLost = query.sendAgain || context.now - supplied.at >= kSendAgain;
-  supplied.document = isLost ? query.haveDocument : std::max(supplied.document, query.haveDocument);
-  supplied.targets = isLost ? targets : std::max(supplied.targets, targets);
+  SentState& sent = entry.sent;
+  const bool mustResend = query.sendAgain || context.now - sent.at >= kResendAfter;
+  sent.document = mustResend ? query.haveDocument : std::max(sent.document, query.haveDocument);
+  sent.targets = mustResend ? targets : std::max(sent.targets, targets);
 }
 
 // The demand of a disconnected entry is kept: its callers are still there, and without them models
@@ -122,10 +122,10 @@
   }
   Entry& entry = found->second;
   entry.isConnected = false;
-  entry.knowsControls = false;
-  entry.supplied = {};
-  entry.toldParts.clear();
-  entry.toldShares.clear();
+  entry.hasControls = false;
+  entry.sent = {};
+  entry.sentParts.clear();
+  entry.sentShares.clear();
 }
 
 void ServingFeed::SetTargets(std::span<const ServedTarget> targets)
@@ -137,7 +137,7 @@
   if (urgency == TargetChanges::Urgency::kAtOnce) {
     m_urgentSequence = m_targets.Sequence();
   }
-  m_isDivided = false;
+  m_areSharesCurrent = false;
   m_heads.clear();
   for (const ServedTarget& target : targets) {
     if (!target.servedModel.empty() && !target.leaving) {
@@ -151,18 +151,19 @@
 // leader does not know yet, and shares without these would stop their use. Later, shares are
 // updated at once when heads change, since a head in no entry's share gets little work, and at an
 // interval as demand changes.
-void ServingFeed::FollowHeads(TimePoint now, const std::map<std::string, ModelDemand>& demand)
+void ServingFeed::UpdateHeadShares(TimePoint now, const std::map<std::string, ModelDemand>& demand)
 {
-  const bool isDue = !m_isDivided || now >= m_nextDivide;
-  const bool knowsEntries = m_firstAskedAt != TimePoint{} && now - m_firstAskedAt >= kMeetEntries;
-  if (isDue && knowsEntries && m_isWhole) {
-    m_nextDivide = now + kDivideInterval;
-    m_isDivided = true;
-    Divide(demand);
+  const bool isDue = !m_areSharesCurrent || now >= m_nextShareUpdate;
+  const bool knowsEntries =
+    m_firstQueryAt != TimePoint{} && now - m_firstQueryAt >= kEntryDiscoveryTime;
+  if (isDue && knowsEntries && m_areTargetsComplete) {
+    m_nextShareUpdate = now + kShareInterval;
+    m_areSharesCurrent = true;
+    AssignHeadShares(demand);
   }
 }
 
-void ServingFeed::Divide(const std::map<std::string, ModelDemand>& demand)
+void ServingFeed::AssignHeadShares(const std::map<std::string, ModelDemand>& demand)
 {
   for (auto& [process, entry] : m_entries) {
     entry.shares.clear();
@@ -182,117 +183,120 @@
 {
   std::erase_if(m_entries, [&](const auto& row) {
     const Entry& entry = row.second;
-    return context.now - entry.heardAt > (entry.isConnected ? kEntryGone : kReconnectTime);
+    return context.now - entry.lastQueryAt >
+           (entry.isConnected ? kEntryTimeout : kReconnectTimeout);
   });
   const std::map<std::string, ModelDemand> demand = Demand();
-  FollowControls(context);
-  FollowHeads(context.now, demand);
+  UpdateControls(context);
+  UpdateHeadShares(context.now, demand);
   Messages messages;
   for (auto& [process, entry] : m_entries) {
     if (!entry.isConnected) {
       continue;
     }
-    Supply(context, process, entry, demand, messages);
+    SendMissingState(context, process, entry, demand, messages);
   }
 }
 
-void ServingFeed::FollowControls(const ControlContext& context)
+void ServingFeed::UpdateControls(const ControlContext& context)
 {
   const auto isSame = [](const auto& former, const auto& now) {
     return former.process == now.process && former.address == now.address;
   };
-  if (std::ranges::equal(m_toldControls, context.controls, isSame)) {
+  if (std::ranges::equal(m_sentControls, context.controls, isSame)) {
     return;
   }
-  m_toldControls = context.controls;
+  m_sentControls = context.controls;
   for (auto& [process, entry] : m_entries) {
-    entry.knowsControls = false;
+    entry.hasControls = false;
   }
 }
 
 // Sending the whole list for each changed row would take traffic proportional to entries x targets
 // x changes, which saturates the leader's link and fills its memory. So changes that are not urgent
 // are batched.
-bool ServingFeed::IsDueTargets(const ControlContext& context, const Entry& entry) const
+bool ServingFeed::AreTargetsDue(const ControlContext& context, const Entry& entry) const
 {
-  const bool mayBeTold = m_isWhole || !entry.knowsTargets;
-  if (!mayBeTold || entry.supplied.targets == m_targets.Sequence()) {
+  const bool maySend = m_areTargetsComplete || !entry.hasTargets;
+  if (!maySend || entry.sent.targets == m_targets.Sequence()) {
     return false;
   }
-  const bool isUrgent = entry.supplied.targets < m_urgentSequence || entry.supplied.targets == 0;
-  return isUrgent || context.now - entry.supplied.at >= kJoinTime;
+  const bool isUrgent = entry.sent.targets < m_urgentSequence || entry.sent.targets == 0;
+  return isUrgent || context.now - entry.sent.at >= kBatchInterval;
 }
 
 // The document is sent whole: with 500 routes it has about 120 KB, which an entry parses in about a
 // millisecond.
-void ServingFeed::Supply(ControlContext& context,
-                         const ProcessId& process,
-                         Entry& entry,
-                         const std::map<std::string, ModelDemand>& demand,
-                         Messages& messages)
+void ServingFeed::SendMissingState(ControlContext& context,
+                                   const ProcessId& process,
+                                   Entry& entry,
+                                   const std::map<std::string, ModelDemand>& demand,
+                                   Messages& messages)
 {
   const StoredDocument& document = context.state.GetDocument();
-  Lack lack;
-  lack.document = entry.supplied.document < document.version;
-  if (IsDueTargets(context, entry)) {
-    lack.targetsSince = entry.supplied.targets;
+  MissingState missing;
+  missing.document = entry.sent.document < document.version;
+  if (AreTargetsDue(context, entry)) {
+    missing.targetsSince = entry.sent.targets;
   }
   Parts parts = PartsOf(entry, demand);
-  const bool lacksParts = Differ(entry.toldParts, parts);
-  const bool lacksShares = Differ(entry.toldShares, entry.shares);
-  const bool isSupplied = !lack.document && !lack.targetsSince && !lacksParts && !lacksShares;
-  if (isSupplied || !context.HasQueueCapacity(process)) {
+  const bool partsChanged = Differ(entry.sentParts, parts);
+  const bool sharesChanged = Differ(entry.sentShares, entry.shares);
+  const bool isNothingDue =
+    !missing.document && !missing.targetsSince && !partsChanged && !sharesChanged;
+  if (isNothingDue || !context.HasQueueCapacity(process)) {
     return;
   }
-  lack.controls = !entry.knowsControls;
-  entry.knowsControls = true;
-  entry.supplied = { std::max(document.version, entry.supplied.document),
-                     lack.targetsSince ? m_targets.Sequence() : entry.supplied.targets,
-                     context.now };
-  if (lacksParts || lacksShares) {
-    wire::ServingStateT state = MakeState(context, lack);
-    entry.toldParts = std::move(parts);
-    entry.toldShares = entry.shares;
+  missing.controls = !entry.hasControls;
+  entry.hasControls = true;
+  entry.sent = { std::max(document.version, entry.sent.document),
+                 missing.targetsSince ? m_targets.Sequence() : entry.sent.targets,
+                 context.now };
+  if (partsChanged || sharesChanged) {
+    wire::ServingStateT state = MakeState(context, missing);
+    entry.sentParts = std::move(parts);
+    entry.sentShares = entry.shares;
     AddShares(entry, state);
     context.SendMessage(process, std::move(state));
     return;
   }
-  std::shared_ptr<wire::EnvelopeT>& message = messages[lack];
+  std::shared_ptr<wire::EnvelopeT>& message = messages[missing];
   if (!message) {
-    message = MakeEnvelope(MakeState(context, lack));
+    message = MakeEnvelope(MakeState(context, missing));
   }
   context.Send(process, message);
 }
 
 void ServingFeed::AddShares(const Entry& entry, wire::ServingStateT& state)
 {
-  for (const auto& [model, part] : entry.toldParts) {
-    auto told = std::make_unique<wire::ModelPartT>();
-    told->model = model;
-    told->part = static_cast<float>(part);
-    state.parts.push_back(std::move(told));
-  }
-  for (const auto& [head, share] : entry.toldShares) {
-    auto told = std::make_unique<wire::HeadShareT>();
-    told->instance = head.Get();
-    told->share = static_cast<float>(share);
-    state.shares.push_back(std::move(told));
+  for (const auto& [model, part] : entry.sentParts) {
+    auto modelPart = std::make_unique<wire::ModelPartT>();
+    modelPart->model = model;
+    modelPart->part = static_cast<float>(part);
+    state.parts.push_back(std::move(modelPart));
+  }
+  for (const auto& [head, share] : entry.sentShares) {
+    auto headShare = std::make_unique<wire::HeadShareT>();
+    headShare->instance = head.Get();
+    headShare->share = static_cast<float>(share);
+    state.shares.push_back(std::move(headShare));
   }
 }
 
-wire::ServingStateT ServingFeed::MakeState(const ControlContext& context, const Lack& lack) const
+wire::ServingStateT ServingFeed::MakeState(const ControlContext& context,
+                                           const MissingState& missing) const
 {
-  wire::ServingStateT state = lack.controls ? MakeControlList(context) : wire::ServingStateT();
+  wire::ServingStateT state = missing.controls ? MakeControlList(context) : wire::ServingStateT();
   state.leader = true;
   state.term = context.replication.term.Get();
   state.entries = static_cast<std::uint32_t>(m_entries.size());
-  if (lack.document) {
+  if (missing.document) {
     const StoredDocument& document = context.state.GetDocument();
     state.documentVersion = document.version;
     state.document = document.text;
   }
-  if (lack.targetsSince) {
-    m_targets.Fill(*lack.targetsSince, state);
+  if (missing.targetsSince) {
+    m_targets.Fill(*missing.targetsSince, state);
   }
   return state;
 }
@@ -314,14 +318,14 @@
   const double even = 1.0 / static_cast<double>(std::max<std::size_t>(m_entries.size(), 1));
   const auto rate = entry.rates.find(model);
   if (rate == entry.rates.end()) {
-    return kLeastPart * even;
+    return kMinPart * even;
   }
   const double sum = demand.at(model).requests;
   const double part = sum > 0 ? rate->second.perSecond.requests / sum : even;
-  return std::max(part, kLeastPart * even);
+  return std::max(part, kMinPart * even);
 }
 
-void ServingFeed::NoteDemand(TimePoint now, Entry& entry, const wire::ModelDemandT& demand)
+void ServingFeed::RecordDemand(TimePoint now, Entry& entry, const wire::ModelDemandT& demand)
 {
   const auto [found, fresh] = entry.rates.try_emplace(demand.model);
   ModelRate& rate = found->second;
@@ -332,9 +336,9 @@
   if (!fresh && seconds > 0 && counted.requests >= rate.counted.requests) {
     // The time before the first count is left out of the average: a new leader that treated it as
     // time without requests would close groups that are needed.
-    rate.seenSeconds += seconds;
+    rate.observedSeconds += seconds;
     const double weight = (1 - std::exp(-seconds / kDemandMemorySeconds)) /
-                          (1 - std::exp(-rate.seenSeconds / kDemandMemorySeconds));
+                          (1 - std::exp(-rate.observedSeconds / kDemandMemorySeconds));
     const auto blend = [&](double former, double before, double after) {
       return former + weight * ((after - before) / seconds - former);
     };
@@ -366,7 +370,7 @@
 {
   std::map<InstanceId, Duration> steps;
   for (const auto& [process, entry] : m_entries) {
-    if (now - entry.heardAt > kAnsweredLately) {
+    if (now - entry.lastQueryAt > kRecentAnswerWindow) {
       continue;
     }
     for (const auto& [head, step] : entry.steps) {
@@ -382,7 +386,7 @@
   std::set<InstanceId> heads;
   for (const auto& [process, entry] : m_entries) {
     for (const auto& [head, at] : entry.failedAt) {
-      if (now - at < kAnsweredLately && at - LastAnswer(head) > kStandsStill) {
+      if (now - at < kRecentAnswerWindow && at - LastAnswer(head) > kHeadStallTime) {
         heads.insert(head);
       }
     }
@@ -406,7 +410,7 @@
   std::set<InstanceId> heads;
   for (const auto& [process, entry] : m_entries) {
     for (const auto& [head, at] : entry.answeredAt) {
-      if (now - at < kAnsweredLately) {
+      if (now - at < kRecentAnswerWindow) {
         heads.insert(head);
       }
     }
--- a/tests/support/feed_world.hpp
+++ b/tests/support/feed_world.hpp
@@ -37,7 +37,7 @@
   }
 
   /// \brief Sends an entry's report about a head.
-  void Tell(const std::string& entry, std::uint32_t answeredAgoMillis, bool isFailing)
+  void ReportHead(const std::string& entry, std::uint32_t answeredAgoMillis, bool isFailing)
   {
     wire::ServingQueryT query;
     auto head = std::make_unique<wire::HeadViewT>();
@@ -56,7 +56,7 @@
 
   /// \brief The part of the model's requests that was last sent to the entry; none when none was
   /// sent.
-  [[nodiscard]] std::optional<float> ToldPart(const std::string& entry) const
+  [[nodiscard]] std::optional<float> LastSentPart(const std::string& entry) const
   {
     std::optional<float> part;
     for (const ControlOutput& output : outbox) {
--- a/tests/unit/control_catalogue_test.cpp
+++ b/tests/unit/control_catalogue_test.cpp
@@ -80,7 +80,7 @@
     ASSERT_TRUE(first && second);
     EXPECT_EQ(first->status, 200U);
     EXPECT_EQ(second->status, 409U);
-    SECTION("the loser is shown what stands now")
+    SECTION("the refused operator receives the current entry")
     {
       EXPECT_THAT(Text(second->body), HasSubstr("has revision 2, not 1"));
       EXPECT_THAT(Text(second->body.at("current")), HasSubstr("\"v2\""));
@@ -102,11 +102,11 @@
   ASSERT_EQ(first.status, 200U);
   ASSERT_EQ(test.Post(Change("b", ModelWrite("hire-assist", "v2", "null"))).status, 200U);
 
-  SECTION("the first outcome is told again and nothing changes")
+  SECTION("the first outcome is returned again and nothing changes")
   {
     EXPECT_EQ(Text(test.Post(change).body), Text(first.body));
   }
-  SECTION("also when both sendings were on their way in the log")
+  SECTION("also when both copies of the change are in the log")
   {
     test.log->holdBack = true;
     const std::string other = Change("d", ModelWrite("hire-assist", "v4", "2"));
@@ -122,7 +122,7 @@
                 .to_number<int>(),
               3);
   }
-  SECTION("a refused change, too, keeps its first outcome")
+  SECTION("a refused change keeps its first outcome too")
   {
     const std::string refused = Change("e", ModelWrite("hire-assist", "v9", "1"));
     EXPECT_EQ(test.Post(refused).status, 409U);
@@ -132,7 +132,7 @@
   {
     EXPECT_EQ(test.Post(Change("a", ModelWrite("hire-assist", "v7", "null"))).status, 409U);
   }
-  SECTION("the memory survives a snapshot")
+  SECTION("the outcomes survive a snapshot")
   {
     const auto snapshot = test.control.role->TakeSnapshot();
     test.control.Restart(snapshot, test.control.applied);
@@ -168,7 +168,7 @@
     EXPECT_EQ(shared.status, 409U);
     EXPECT_THAT(Text(shared.body), HasSubstr("share a token"));
   }
-  SECTION("after a removal an old revision doesn't fit the new entry")
+  SECTION("after a removal an old revision doesn't match the new entry")
   {
     const std::string removal =
       R"({"entry":{"kind":"model","name":"one"},"expectedRevision":1,"remove":true})";
@@ -179,7 +179,7 @@
   }
 }
 
-TEST(ControlCatalogue, ItsMemoryOfChangesIsBounded)
+TEST(ControlCatalogue, TheHistoryOfChangesIsBounded)
 {
   CatalogueTable table;
   const std::size_t large = CatalogueTable::kMaxChangeBytes / 10;
@@ -199,7 +199,7 @@
   EXPECT_TRUE(table.FindChange("c-30")->ok);
 }
 
-TEST(ControlCatalogue, BadCallsGetAClearAnswer)
+TEST(ControlCatalogue, InvalidCallsAreAnsweredWithAReason)
 {
   OneControl test;
   SECTION("no token and a wrong token")
@@ -207,7 +207,7 @@
     const auto outbox = test.control.Tick({ Called(1, "GET", "/admin/v1/status", "", "guess") });
     EXPECT_EQ(AnswerOf(outbox, 1)->status, 401U);
   }
-  SECTION("bad JSON and bad fields, all at once")
+  SECTION("invalid JSON, and several invalid fields in one answer")
   {
     EXPECT_EQ(test.Post("{").status, 400U);
     const Answer bad = test.Post(
@@ -227,7 +227,7 @@
     EXPECT_EQ(test.Call("GET", "/admin/v1/requests/xyz").status, 400U);
     EXPECT_EQ(test.Call("GET", "/admin/v1/requests/entry-1.1.1").status, 503U);
   }
-  SECTION("a process that doesn't lead names the one that does")
+  SECTION("a follower names the leader")
   {
     test.control.leader = false;
     test.control.leaderHint = ProcessId("control-2");
@@ -257,7 +257,7 @@
     EXPECT_EQ(answers[0].second.nonce, 5U);
     EXPECT_EQ(answers[0].second.items.size(), 1U);
   }
-  SECTION("cut off, it answers neither processes nor operators")
+  SECTION("while partitioned, it answers neither processes nor operators")
   {
     test.control.cutOff = true;
     test.control.now += milliseconds(50);
--- a/tests/unit/control_membership_test.cpp
+++ b/tests/unit/control_membership_test.cpp
@@ -14,7 +14,7 @@
 const std::vector<std::string> kVms{ "vm-1", "vm-2", "vm-3", "vm-4" };
 
 /// \brief Forms one group as soon as four free and usable VMs exist.
-std::vector<PlannerAction> FormOfFour(TimePoint, const PlannerInput& input)
+std::vector<PlannerAction> PlanGroupOfFour(TimePoint, const PlannerInput& input)
 {
   FormGroupAction form{ EntryName("hire-assist"), "v1", {} };
   for (const VmView& vm : input.vms) {
@@ -36,7 +36,7 @@
   Fleet()
   {
     for (ControlNode* node : { &first, &second }) {
-      node->plan = FormOfFour;
+      node->plan = PlanGroupOfFour;
       node->Tick({ Up("entry-1", "entry") });
       for (const std::string& vm : kVms) {
         node->Tick({ Up("agent-" + vm, "agent"), Announced(vm) });
@@ -123,13 +123,13 @@
 {
   Fleet fleet;
   const std::uint64_t group = fleet.Form();
-  SECTION("orders are repeated until each member accepted")
+  SECTION("assignments are repeated until each member has accepted")
   {
     EXPECT_EQ(Sent<wire::AssignT>(fleet.first.Run(seconds(2))).size(), 8U);
     fleet.AcceptAll(fleet.first, group);
     EXPECT_THAT(Sent<wire::AssignT>(fleet.first.Run(seconds(2))), IsEmpty());
   }
-  SECTION("no route before the head reported the group ready")
+  SECTION("there is no route before the head has reported the group ready")
   {
     EXPECT_THAT(RoutesIn(fleet.first.Run(seconds(1))), IsEmpty());
     fleet.first.Tick({ Reported("vm-1", group, false) });
@@ -143,7 +143,7 @@
     EXPECT_TRUE(grants[0].second.granted);
     EXPECT_EQ(grants[0].second.leaseMillis, 4000U);
   }
-  SECTION("a ready group's route goes to the entry at once")
+  SECTION("a ready group's route is sent to the entry at once")
   {
     const auto routes = RoutesIn(told);
     ASSERT_EQ(routes.size(), 1U);
@@ -151,13 +151,13 @@
     EXPECT_EQ(routes[0].head, "agent-vm-1");
     EXPECT_EQ(routes[0].state, wire::RouteState::Open);
   }
-  SECTION("a missing member takes the route away at once")
+  SECTION("a missing member removes the route at once")
   {
     const auto routes = RoutesIn(fleet.first.Tick({ Reported("vm-1", group, false, { "vm-3" }) }));
     ASSERT_EQ(routes.size(), 1U);
     EXPECT_EQ(routes[0].state, wire::RouteState::Gone);
   }
-  SECTION("another agent than the head's gets no lease")
+  SECTION("an agent other than the head's gets no lease")
   {
     wire::GroupReportT report;
     report.group = group;
@@ -168,7 +168,7 @@
     ASSERT_EQ(grants.size(), 1U);
     EXPECT_FALSE(grants[0].second.granted);
   }
-  SECTION("a restarted agent that forgot its group is ordered again")
+  SECTION("a restarted agent without its group is assigned again")
   {
     fleet.first.Tick({ Announced("vm-2", "fabric-1", 0) });
     const auto assigns = Sent<wire::AssignT>(fleet.first.Run(seconds(1)));
@@ -208,7 +208,7 @@
       EXPECT_EQ(assign.group, group);
     }
     fleet.first.Tick();
-    SECTION("both controls hold the same state, with each VM in one group")
+    SECTION("both control processes have the same state, with each VM in one group")
     {
       EXPECT_EQ(fleet.first.role->TakeSnapshot(), fleet.second.role->TakeSnapshot());
       ControlState state;
@@ -245,7 +245,7 @@
   Fleet fleet;
   fleet.first.plan = [&](TimePoint at, const PlannerInput& input) {
     if (input.groups.empty()) {
-      return FormOfFour(at, input);
+      return PlanGroupOfFour(at, input);
     }
     return std::vector<PlannerAction>{};
   };
@@ -274,7 +274,7 @@
     outbox = fleet.first.Tick({ ReleasedBy("vm-2", group) });
     EXPECT_THAT(FreedVms(fleet.first.Run(milliseconds(200))), IsEmpty());
   }
-  SECTION("an agent can't speak for another VM")
+  SECTION("an agent can't release another VM")
   {
     wire::ReleasedT released;
     released.vm = "vm-1";
@@ -283,13 +283,13 @@
     fleet.first.Tick({ From("agent-vm-2", std::move(released)) });
     EXPECT_THAT(FreedVms(fleet.first.Run(milliseconds(200))), IsEmpty());
   }
-  SECTION("nothing more is leased")
+  SECTION("no further lease is granted")
   {
     const auto grants = Sent<wire::LeaseGrantT>(fleet.first.Tick({ Reported("vm-1", group) }));
     ASSERT_EQ(grants.size(), 1U);
     EXPECT_FALSE(grants[0].second.granted);
   }
-  SECTION("with a silent head nothing is free before the lease has certainly ended")
+  SECTION("with a silent head no VM is freed before the lease has certainly ended")
   {
     std::vector<std::string> early;
     while (fleet.first.now < granted + milliseconds(4000)) {
@@ -297,7 +297,7 @@
       early.insert(early.end(), freed.begin(), freed.end());
     }
     EXPECT_THAT(early, IsEmpty());
-    SECTION("after that and the clocks' drift all are")
+    SECTION("after the lease and the clock drift all VMs are freed")
     {
       EXPECT_EQ(FreedVms(fleet.first.Run(seconds(1))).size(), 4U);
     }
@@ -329,7 +329,7 @@
 // Guards against a VM in two groups after a change of leader: the old leader grants a lease and
 // fails; the new leader, which has granted none, dissolves the group and frees its VMs at once.
 // This happens if a new leader assumes that no lease exists because it granted none itself.
-TEST(ControlMembership, ANewLeaderWaitsOutLeasesThatItCantAccountFor)
+TEST(ControlMembership, ANewLeaderWaitsForTheLeasesOfEarlierLeaders)
 {
   Fleet fleet;
   const std::uint64_t group = fleet.Form();
@@ -375,7 +375,7 @@
   EXPECT_THAT(Sent<wire::ConfigStateT>(outbox), IsEmpty());
   EXPECT_THAT(Sent<wire::LeaseGrantT>(outbox), IsEmpty());
   EXPECT_EQ(AnswerOf(outbox, 7)->status, 503U);
-  SECTION("with its first command applied, it does")
+  SECTION("after its first command is applied, it answers")
   {
     fleet.log->Commit();
     fleet.log->holdBack = false;
@@ -390,7 +390,7 @@
 // Guards against callers refused for seconds after a change of leader although all groups serve:
 // the entries connect to the new leader before the heads do, and it removes all their routes. This
 // happens if a group without a report yet is treated as gone.
-TEST(ControlMembership, ANewLeaderTakesNoRouteAwayBeforeItHeardTheHeads)
+TEST(ControlMembership, ANewLeaderKeepsRoutesUntilTheHeadsHaveReported)
 {
   Fleet fleet;
   const std::uint64_t group = fleet.Form();
@@ -400,7 +400,7 @@
   fleet.second.now = fleet.first.now;
   fleet.second.Lead(2);
   EXPECT_THAT(Sent<wire::RoutesUpdateT>(fleet.second.Run(seconds(2))), IsEmpty());
-  SECTION("once the head reported, the entry gets the whole set")
+  SECTION("once the head has reported, the entry gets all routes")
   {
     auto outbox = fleet.second.Tick({ Reported("vm-1", group) });
     const auto rest = fleet.second.Run(milliseconds(300));
@@ -444,7 +444,7 @@
         fleet.first.Tick({ From("agent-vm-3", std::move(announce)) });
       }
       const auto outbox = fleet.first.Run(milliseconds(400));
-      SECTION("entries are told at once, and the head is told to finish its work")
+      SECTION("entries are notified at once, and the head is ordered to finish its work")
       {
         const auto routes = RoutesIn(outbox);
         ASSERT_EQ(routes.size(), 1U);
@@ -454,7 +454,7 @@
         EXPECT_EQ(releases[0].first, "agent-vm-1");
         EXPECT_EQ(releases[0].second.graceMillis, 120000U);
       }
-      SECTION("while the head works on, its lease is granted and nobody is freed")
+      SECTION("while the head still works, its lease is granted and no VM is freed")
       {
         for (int second = 0; second < 10; ++second) {
           const auto grants =
@@ -464,7 +464,7 @@
           EXPECT_THAT(FreedVms(fleet.first.Run(seconds(1))), IsEmpty());
         }
       }
-      SECTION("once the head is done the group ends")
+      SECTION("once the head has finished, the group ends")
       {
         fleet.first.Tick({ ReleasedBy("vm-1", group) });
         fleet.first.Run(milliseconds(300));
@@ -485,7 +485,7 @@
 // group, and its VMs are free but unreachable; then the agents reconnect and announce the old
 // group. The failure occurs if they are not told to release a dissolved group, or if unreachable
 // VMs are used.
-TEST(ControlMembership, AFabricDomainGoesDarkAndComesBack)
+TEST(ControlMembership, AFabricDomainFailsAndRecovers)
 {
   Fleet fleet;
   const std::uint64_t group = fleet.Form();
@@ -496,13 +496,14 @@
         at - *input.groups[0].brokenSince > seconds(10)) {
       return std::vector<PlannerAction>{ DissolveGroupAction{ input.groups[0].group, "dark" } };
     }
-    return FormOfFour(at, input);
+    return PlanGroupOfFour(at, input);
   };
   for (const std::string& vm : kVms) {
     fleet.first.Tick({ Down("agent-" + vm) });
   }
   const auto dark = fleet.first.Run(seconds(30));
-  SECTION("the route is gone, the group given up, and its VMs are not used while dark")
+  SECTION(
+    "the route is removed, the group is dissolved, and its VMs are not used while unreachable")
   {
     const auto routes = RoutesIn(dark);
     ASSERT_EQ(routes.size(), 1U);
@@ -510,7 +511,7 @@
     EXPECT_EQ(FreedVms(dark).size(), 4U);
     EXPECT_THAT(Sent<wire::AssignT>(dark), IsEmpty());
   }
-  SECTION("back again, they are told to drop the old group and form one new group")
+  SECTION("after the recovery, they are ordered to release the old group and form one new group")
   {
     std::vector<ControlOutput> back;
     for (const std::string& vm : kVms) {
@@ -530,7 +531,7 @@
 // Guards against dissolving a group that serves: one member can't reach control, but exchanges
 // heartbeats with its head. This happens if a member's reachability depends on its own connection
 // alone.
-TEST(ControlMembership, AMemberThatOnlyItsHeadReachesCountsAsThere)
+TEST(ControlMembership, AMemberReachedOnlyByItsHeadIsReachable)
 {
   Fleet fleet;
   const std::uint64_t group = fleet.Form();
@@ -550,7 +551,7 @@
   ASSERT_EQ(seenVms.size(), 4U);
   EXPECT_TRUE(seenVms[2].reachable);
   EXPECT_FALSE(broken.back());
-  SECTION("the reverse: control reaches the member, its head doesn't")
+  SECTION("a member that control reaches but its head does not breaks the group")
   {
     fleet.first.Tick({ Up("agent-vm-3", "agent"), Announced("vm-3", "fabric-1", group) });
     fleet.first.Tick({ Reported("vm-1", group, false, { "vm-3" }) });
@@ -605,7 +606,7 @@
   EXPECT_EQ(state.GetGroups().FindVm(VmId("vm-1"))->record.process, "agent-vm-1");
 }
 
-TEST(GroupTable, RefusesWhatWouldBreakItsRules)
+TEST(GroupTable, RefusesCommandsThatViolateItsInvariants)
 {
   GroupTable table;
   for (const std::string& vm : kVms) {
--- a/tests/unit/refused_calls_test.cpp
+++ b/tests/unit/refused_calls_test.cpp
@@ -20,7 +20,7 @@
 
 // Guards against a log that one caller fills, which evicts earlier entries: the caller sends calls
 // that can't be parsed, many times a second. This happens if each call is logged on its own line.
-TEST(RefusedCalls, OneLineASecondCountsThemAll)
+TEST(RefusedCalls, OneEventASecondCountsAllCalls)
 {
   RefusedCalls refused;
   TimePoint now{ 1h };
@@ -36,7 +36,7 @@
     }
   }
   EXPECT_EQ(lines, 3);
-  SECTION("the last ones are told within a second")
+  SECTION("the last calls are reported within a second")
   {
     const std::optional<EventOut> report = refused.TakeReport(now + RefusedCalls::kInterval);
     ASSERT_TRUE(report.has_value());
--- a/tests/unit/serving_feed_size_test.cpp
+++ b/tests/unit/serving_feed_size_test.cpp
@@ -75,7 +75,7 @@
 // entry reads a few kB a second while rows change a thousand times. This happens if each change is
 // queued regardless of what is queued already; the entry then receives one outdated state after
 // another.
-TEST(ServingFeedSize, ASlowReaderIsToldTheLatestState)
+TEST(ServingFeedSize, ASlowReaderReceivesTheLatestState)
 {
   constexpr std::size_t kReadEachStep = 100;                 // Bytes in 5 ms.
   constexpr std::size_t kMostQueued = 64 * 1024 + 64 * 1024; // One write and one list.
@@ -123,7 +123,7 @@
     run();
   }
   EXPECT_LE(mostQueued, kMostQueued);
-  SECTION("and ends with what the table holds")
+  SECTION("the entry finally has the current table")
   {
     for (std::size_t step = 0; step < 2 * kMostQueued / kReadEachStep; ++step) {
       run();
--- a/tests/unit/serving_feed_test.cpp
+++ b/tests/unit/serving_feed_test.cpp
@@ -16,23 +16,23 @@
 TEST(ServingFeed, AHeadFailsOnceNoEntryHadAnAnswerForHalfASecond)
 {
   FeedWorld world;
-  world.Tell("e1", 100, false);
-  SECTION("not while another entry has answers")
+  world.ReportHead("e1", 100, false);
+  SECTION("not while another entry receives answers")
   {
     world.now += 300ms;
-    world.Tell("e2", 700, true);
+    world.ReportHead("e2", 700, true);
     EXPECT_THAT(world.feed.FailingHeads(world.now), IsEmpty());
   }
-  SECTION("but half a second after the last")
+  SECTION("half a second after the last answer")
   {
     world.now += 300ms;
-    world.Tell("e2", 1000, true);
+    world.ReportHead("e2", 1000, true);
     EXPECT_TRUE(world.feed.FailingHeads(world.now).contains(InstanceId("h1")));
   }
-  SECTION("and no more once it answers again")
+  SECTION("no longer once it answers again")
   {
     world.now += 300ms;
-    world.Tell("e1", 0, false);
+    world.ReportHead("e1", 0, false);
     EXPECT_THAT(world.feed.FailingHeads(world.now), IsEmpty());
   }
 }
@@ -49,7 +49,7 @@
   world.Ask("e1", world.Query(1010));
   EXPECT_NEAR(world.feed.Demand().at("large").requests, 20, 0.01);
   EXPECT_NEAR(world.feed.Demand().at("large").promptTokens, 2000, 1);
-  SECTION("and follows a burst within seconds")
+  SECTION("demand follows a burst within seconds")
   {
     for (std::uint64_t step = 1; step <= 12; ++step) {
       world.now += 500ms;
@@ -63,7 +63,7 @@
 // although one entry has most of the callers, and models appear to have no demand. An entry
 // disconnects and queries again half a second later. This happens if its counts are dropped with
 // the connection.
-TEST(ServingFeed, CallersAreRememberedWhileAnEntryConnectsAgain)
+TEST(ServingFeed, DemandIsKeptWhileAnEntryReconnects)
 {
   FeedWorld world;
   world.Ask("e1", world.Query(1000));
@@ -71,7 +71,7 @@
   world.Ask("e1", world.Query(1010));
   world.feed.OnPeerDown(ProcessId("e1"));
   EXPECT_NEAR(world.feed.Demand().at("large").requests, 20, 0.01);
-  SECTION("and it is told everything anew")
+  SECTION("everything is sent to it again")
   {
     world.feed.SetTargets(std::vector<ServedTarget>{
       { InstanceId("h1"), "assist", "h1:80", FailureDomainId("a"), 28, false, "large" } });
@@ -84,7 +84,7 @@
     ASSERT_EQ(frames.size(), 1U);
     EXPECT_TRUE(frames[0].envelope->body.AsServingState()->wholeTargets);
   }
-  SECTION("but not those of one that stays away")
+  SECTION("the demand of an entry that stays disconnected is dropped")
   {
     world.feed.OnPeerDown(ProcessId("e1"));
     world.now += 2s;
@@ -96,7 +96,7 @@
 // Guards against a restarted entry that refuses all calls for seconds: it had the list of targets,
 // disconnects, and sends a query without state. This happens if state sent on the closed connection
 // counts as received.
-TEST(ServingFeed, AnEntryThatRestartsIsToldAllAtOnce)
+TEST(ServingFeed, ARestartedEntryReceivesEverythingAtOnce)
 {
   FeedWorld world;
   world.feed.SetTargetsComplete(true);
@@ -104,13 +104,13 @@
     { InstanceId("h1"), "assist", "h1:80", FailureDomainId("a"), 28, false, "large" } });
   world.Ask("e1", {});
   ASSERT_EQ(world.TakeFrames().size(), 1U);
-  SECTION("not for a question that left before the answer came")
+  SECTION("not for a query sent before the answer arrived")
   {
     world.now += 10ms;
     world.Ask("e1", {});
     EXPECT_THAT(world.TakeFrames(), IsEmpty());
   }
-  SECTION("but once its connection broke")
+  SECTION("after its connection closed")
   {
     world.feed.OnPeerDown(ProcessId("e1"));
     world.now += 100ms;
@@ -129,7 +129,7 @@
   FeedWorld world;
   const ServedTarget head{ InstanceId("h1"), "assist", "h1:80", FailureDomainId("a"), 28, false,
                            "large" };
-  const auto sharesTold = [&] {
+  const auto sharesSent = [&] {
     wire::ServingQueryT query = world.Query(1000);
     query.haveTerm = 7; // The previous leader's term.
     query.haveTargets = 12;
@@ -143,20 +143,20 @@
   };
   world.feed.SetTargets(std::vector<ServedTarget>{ head });
   for (int question = 0; question < 5; ++question) {
-    EXPECT_EQ(sharesTold(), 0U);
+    EXPECT_EQ(sharesSent(), 0U);
     world.now += 500ms;
   }
-  SECTION("which is told by its owner")
+  SECTION("shares are sent once the targets are complete")
   {
     world.feed.SetTargetsComplete(true);
-    EXPECT_EQ(sharesTold(), 1U);
+    EXPECT_EQ(sharesSent(), 1U);
   }
 }
 
 // Guards against an entry that refuses calls while heads have free slots: the only entry of a
 // failure domain gets half of all callers. This happens if the slots are divided evenly among
 // entries.
-TEST(ServingFeed, EntriesAreToldTheirPartOfTheCallers)
+TEST(ServingFeed, EntriesReceiveTheirPartOfTheRequests)
 {
   FeedWorld world;
   for (std::uint64_t step = 0; step < 8; ++step) {
@@ -164,20 +164,20 @@
     world.Ask("e2", world.Query(step * 10));
     world.now += 500ms;
   }
-  EXPECT_NEAR(world.ToldPart("e1").value_or(0), 0.75, 0.05);
-  EXPECT_NEAR(world.ToldPart("e2").value_or(0), 0.25, 0.05);
-  SECTION("again only when it changed")
+  EXPECT_NEAR(world.LastSentPart("e1").value_or(0), 0.75, 0.05);
+  EXPECT_NEAR(world.LastSentPart("e2").value_or(0), 0.25, 0.05);
+  SECTION("again only after a change")
   {
     world.outbox.clear();
     world.Ask("e1", world.Query(8 * 30));
-    EXPECT_EQ(world.ToldPart("e1"), std::nullopt);
+    EXPECT_EQ(world.LastSentPart("e1"), std::nullopt);
   }
-  SECTION("and keep some room when they had no callers lately")
+  SECTION("an entry without recent requests keeps a minimum part")
   {
     world.Ask("e3", world.Query(0));
     world.now += 500ms;
     world.Ask("e3", world.Query(0));
-    EXPECT_GT(world.ToldPart("e3").value_or(0), 0.1F);
+    EXPECT_GT(world.LastSentPart("e3").value_or(0), 0.1F);
   }
 }
 
