--- a/include/gooseberrysail/control/catalogue_table.hpp
+++ b/include/gooseberrysail/control/catalogue_table.hpp
@@ -20,7 +20,7 @@
 /// \brief Value of `CatalogueWrite.expectedRevision` that accepts any current revision.
 inline constexpr std::uint64_t kAnyRevision = std::numeric_limits<std::uint64_t>::max();
 
-/// \brief Hash of a change without its time; tells a repeated change from another change that
+/// \brief Hash of a change without its time; distinguishes a repeated change from another that
 /// reuses its id.
 [[nodiscard]] std::string DigestOf(const wire::ChangeCatalogueT& change);
 
--- a/src/control/catalogue_table.cpp
+++ b/src/control/catalogue_table.cpp
@@ -273,7 +273,7 @@
 {
   *this = CatalogueTable();
   m_version = LogIndex(snapshot.catalogueVersion);
-  // The snapshot doesn't tell which removals were pruned; sending the whole catalogue is always
+  // The snapshot doesn't record which removals were pruned; sending the whole catalogue is always
   // correct.
   m_prunedVersion = snapshot.catalogueVersion;
   for (const auto& item : snapshot.items) {
--- a/src/control/control_role.cpp
+++ b/src/control/control_role.cpp
@@ -303,7 +303,7 @@
 {
   const wire::BodyUnion& body = input.envelope->body;
   if (body.type == wire::Body::Announce) {
-    // Followers record announcements too, so that a new leader knows the present agents.
+    // Followers record announcements too, so that a new leader has the list of connected agents.
     membership.OnAnnounce(context, input.peer, *body.AsAnnounce());
   } else if (body.type == wire::Body::InForce) {
     config.OnInForce(context, input.peer, *body.AsInForce());
--- a/tests/unit/control_membership_test.cpp
+++ b/tests/unit/control_membership_test.cpp
@@ -483,8 +483,8 @@
 // Guards against groups that never serve again, or serve twice, after a failed fabric domain
 // recovers. All agents of a domain disconnect, the group's lease ends, the planner dissolves the
 // group, and its VMs are free but unreachable; then the agents reconnect and announce the old
-// group. The failure occurs if they are not told to release a dissolved group, or if unreachable
-// VMs are used.
+// group. The failure occurs if they are not ordered to release the dissolved group, or if
+// unreachable VMs are used.
 TEST(ControlMembership, AFabricDomainFailsAndRecovers)
 {
   Fleet fleet;
@@ -494,32 +494,33 @@
   fleet.first.plan = [](TimePoint at, const PlannerInput& input) {
     if (!input.groups.empty() && input.groups[0].brokenSince &&
         at - *input.groups[0].brokenSince > seconds(10)) {
-      return std::vector<PlannerAction>{ DissolveGroupAction{ input.groups[0].group, "dark" } };
+      return std::vector<PlannerAction>{ DissolveGroupAction{ input.groups[0].group,
+                                                              "unreachable" } };
     }
     return PlanGroupOfFour(at, input);
   };
   for (const std::string& vm : kVms) {
     fleet.first.Tick({ Down("agent-" + vm) });
   }
-  const auto dark = fleet.first.Run(seconds(30));
+  const auto duringOutage = fleet.first.Run(seconds(30));
   SECTION(
     "the route is removed, the group is dissolved, and its VMs are not used while unreachable")
   {
-    const auto routes = RoutesIn(dark);
+    const auto routes = RoutesIn(duringOutage);
     ASSERT_EQ(routes.size(), 1U);
     EXPECT_EQ(routes[0].state, wire::RouteState::Gone);
-    EXPECT_EQ(FreedVms(dark).size(), 4U);
-    EXPECT_THAT(Sent<wire::AssignT>(dark), IsEmpty());
+    EXPECT_EQ(FreedVms(duringOutage).size(), 4U);
+    EXPECT_THAT(Sent<wire::AssignT>(duringOutage), IsEmpty());
   }
   SECTION("after the recovery, they are ordered to release the old group and form one new group")
   {
-    std::vector<ControlOutput> back;
+    std::vector<ControlOutput> afterRecovery;
     for (const std::string& vm : kVms) {
       const auto part =
         fleet.first.Tick({ Up("agent-" + vm, "agent"), Announced(vm, "fabric-1", group) });
-      back.insert(back.end(), part.begin(), part.end());
+      afterRecovery.insert(afterRecovery.end(), part.begin(), part.end());
     }
-    const auto releases = Sent<wire::ReleaseT>(back);
+    const auto releases = Sent<wire::ReleaseT>(afterRecovery);
     ASSERT_EQ(releases.size(), 4U);
     EXPECT_EQ(releases[0].second.group, group);
     const auto assigns = Sent<wire::AssignT>(fleet.first.Run(seconds(1)));
