--- a/include/gooseberrysail/control/admin_queries.hpp
+++ b/include/gooseberrysail/control/admin_queries.hpp
@@ -11,13 +11,13 @@
 
 namespace gooseberrysail {
 
-/// \brief Questions of operators that other processes answer: what became of a request, and the
-/// events of all processes.
+/// \brief Operators' queries that need answers of other processes: the outcome of a request, and
+/// the events of all processes.
 class AdminQueries
 {
 public:
-  void AskRequest(ControlContext& context, ExchangeId exchange, const std::string& request);
-  void AskTimeline(ControlContext& context, ExchangeId exchange, const AdminTarget& target);
+  void LookUpRequest(ControlContext& context, ExchangeId exchange, const std::string& request);
+  void CollectTimeline(ControlContext& context, ExchangeId exchange, const AdminTarget& target);
   void OnRequestAnswer(ControlContext& context,
                        const ProcessId& peer,
                        const wire::RequestAnswerT& answer);
@@ -25,7 +25,8 @@
                         const ProcessId& peer,
                         const wire::TimelineAnswerT& answer);
   void OnCallerGone(ExchangeId exchange);
-  /// \brief Answers with what there is when the time is up.
+  /// \brief After kTimeout, answers request lookups with an error and timelines with the events
+  /// received so far.
   void Tick(ControlContext& context);
 
   [[nodiscard]] std::size_t OpenCalls() const noexcept
@@ -36,31 +37,31 @@
   static constexpr Duration kTimeout = std::chrono::seconds(2);
 
 private:
-  struct RequestQuestion
+  struct RequestLookup
   {
     ExchangeId exchange;
     std::string request;
     ProcessId entry;
     TimePoint asked{};
   };
-  struct TimelineQuestion
+  struct TimelineLookup
   {
     ExchangeId exchange;
     TimePoint asked{};
     std::set<ProcessId> awaited;
     std::set<ProcessId> answered;
-    std::size_t notAsked = 0;
+    std::size_t notAsked = 0; ///< Connected processes beyond the limit on queried ones.
     std::uint64_t dropped = 0;
     std::size_t bytes = 0;
     bool truncated = false;
     boost::json::array events;
   };
 
-  static void AnswerTimeline(ControlContext& context, TimelineQuestion& question);
+  static void AnswerTimeline(ControlContext& context, TimelineLookup& lookup);
 
   std::uint64_t m_nonce = 0;
-  std::map<std::uint64_t, RequestQuestion> m_requests;
-  std::map<std::uint64_t, TimelineQuestion> m_timelines;
+  std::map<std::uint64_t, RequestLookup> m_requests;
+  std::map<std::uint64_t, TimelineLookup> m_timelines;
 };
 
 } // namespace gooseberrysail
--- a/src/control/catalogue_table.cpp
+++ b/src/control/catalogue_table.cpp
@@ -27,7 +27,7 @@
   return bytes;
 }
 
-std::string Title(const wire::CatalogueItemT& item)
+std::string Describe(const wire::CatalogueItemT& item)
 {
   return std::string(KindName(item.kind)) + " " + item.name;
 }
@@ -55,8 +55,9 @@
   return std::to_string(XXH3_64bits(builder.GetBufferPointer(), builder.GetSize()));
 }
 
-/// \brief Whether a change may take effect; if not, why, and the entries that stand against it.
-struct CatalogueTable::Verdict
+/// \brief Result of checking a change: the reason for a refusal, and the current entries whose
+/// revisions conflict with it.
+struct CatalogueTable::CheckResult
 {
   std::string refusal;
   std::vector<const wire::CatalogueItemT*> current;
@@ -75,9 +76,9 @@
   return found == m_items.end() || found->second.deleted ? nullptr : &found->second;
 }
 
-CatalogueTable::Verdict CatalogueTable::Judge(const wire::ChangeCatalogueT& change) const
+CatalogueTable::CheckResult CatalogueTable::Check(const wire::ChangeCatalogueT& change) const
 {
-  Verdict verdict;
+  CheckResult result;
   std::set<Key> written;
   std::size_t bytes = m_itemBytes;
   for (const auto& write : change.writes) {
@@ -85,30 +86,31 @@
     const wire::CatalogueItemT* current = Find(item.kind, item.name);
     const std::uint64_t revision = current != nullptr ? current->revision : 0;
     if (!written.emplace(item.kind, item.name).second) {
-      verdict.Refuse(Title(item) + " is written twice in one change", nullptr);
+      result.Refuse(Describe(item) + " is written twice in one change", nullptr);
     }
-    // Two operators who read the same revision would otherwise overwrite one another: the later
-    // write undoes the earlier one, and its author is told that all went well.
+    // Without this check, of two operators who read the same revision the later would overwrite the
+    // earlier one's write, which was already acknowledged.
     if (write->expectedRevision != kAnyRevision && write->expectedRevision != revision) {
-      verdict.Refuse(Title(item) + " has revision " + std::to_string(revision) + ", not " +
-                       std::to_string(write->expectedRevision),
-                     current);
+      result.Refuse(Describe(item) + " has revision " + std::to_string(revision) + ", not " +
+                      std::to_string(write->expectedRevision),
+                    current);
     } else if (write->remove && current == nullptr) {
-      verdict.Refuse(Title(item) + " does not exist", nullptr);
+      result.Refuse(Describe(item) + " does not exist", nullptr);
     }
     bytes += write->remove ? 0 : BytesOf(item);
   }
   if (bytes > kMaxItemBytes || m_items.size() + change.writes.size() > kMaxItems) {
-    verdict.Refuse("the catalogue is full: " + std::to_string(m_items.size()) + " of " +
-                     std::to_string(kMaxItems) + " entries, " + std::to_string(m_itemBytes) +
-                     " of " + std::to_string(kMaxItemBytes) + " bytes",
-                   nullptr);
+    result.Refuse("the catalogue is full: " + std::to_string(m_items.size()) + " of " +
+                    std::to_string(kMaxItems) + " entries, " + std::to_string(m_itemBytes) +
+                    " of " + std::to_string(kMaxItemBytes) + " bytes",
+                  nullptr);
   }
-  if (!verdict.refusal.empty()) {
-    return verdict;
+  if (!result.refusal.empty()) {
+    return result;
   }
 
-  // What must be unique over the whole catalogue, checked on the state after the change.
+  // Check names and tokens that must be unique in the whole catalogue on the state after the
+  // change.
   std::map<Key, const wire::CatalogueItemT*> after;
   for (const auto& [key, item] : m_items) {
     if (!item.deleted) {
@@ -131,17 +133,17 @@
   for (const auto& [key, item] : after) {
     if (key.first == wire::EntryKind::Service &&
         after.contains(Key(wire::EntryKind::Model, key.second))) {
-      verdict.Refuse(key.second + " would be both a model and a service", nullptr);
+      result.Refuse(key.second + " would be both a model and a service", nullptr);
     }
     if (writesWorkspace && key.first == wire::EntryKind::Workspace) {
       const auto [other, isNew] = workspaceByToken.emplace(TokenHashOf(*item), key.second);
       if (!isNew) {
-        verdict.Refuse(
-          "workspaces " + other->second + " and " + key.second + " would share a token", nullptr);
+        result.Refuse("workspaces " + other->second + " and " + key.second + " would share a token",
+                      nullptr);
       }
     }
   }
-  return verdict;
+  return result;
 }
 
 void CatalogueTable::Write(LogIndex index,
@@ -150,8 +152,8 @@
 {
   const Key key(write.item->kind, write.item->name);
   const auto found = m_items.find(key);
-  // A removed entry's revision is kept, so that a number read before the removal doesn't fit the
-  // entry that is created afterwards.
+  // The revision continues after a removal, so that a revision read before the removal doesn't
+  // match an entry created later under the same name.
   const std::uint64_t revision = found == m_items.end() ? 0 : found->second.revision;
   if (found != m_items.end()) {
     m_itemBytes -= BytesOf(found->second);
@@ -172,8 +174,8 @@
 void CatalogueTable::Apply(LogIndex index, const wire::ChangeCatalogueT& change)
 {
   if (FindChange(change.changeId) != nullptr) {
-    // The operator's answer was lost and the change sent again. Applied twice it could undo what
-    // another operator wrote in between.
+    // The operator repeats a change after a lost answer. Applying it again could undo a change that
+    // another operator made in between.
     return;
   }
   wire::ChangeRecordT record;
@@ -183,10 +185,10 @@
   record.index = index.Get();
   record.digest = DigestOf(change);
 
-  const Verdict verdict = Judge(change);
-  record.ok = verdict.refusal.empty();
-  record.detail = verdict.refusal;
-  for (const wire::CatalogueItemT* item : verdict.current) {
+  const CheckResult result = Check(change);
+  record.ok = result.refusal.empty();
+  record.detail = result.refusal;
+  for (const wire::CatalogueItemT* item : result.current) {
     record.items.push_back(Copy(*item));
   }
   if (record.ok) {
@@ -194,12 +196,12 @@
       Write(index, *write, record);
     }
     m_version = index;
-    ForgetOldRemovals();
+    PruneRemovals();
   }
-  Remember(std::move(record));
+  AddChange(std::move(record));
 }
 
-void CatalogueTable::Remember(wire::ChangeRecordT record)
+void CatalogueTable::AddChange(wire::ChangeRecordT record)
 {
   m_changeById[record.changeId] = m_firstChange + m_changes.size();
   m_changeBytes += BytesOf(record);
@@ -213,7 +215,7 @@
   }
 }
 
-void CatalogueTable::ForgetOldRemovals()
+void CatalogueTable::PruneRemovals()
 {
   std::vector<std::pair<std::uint64_t, Key>> removals;
   for (const auto& [key, item] : m_items) {
@@ -227,7 +229,7 @@
   std::sort(removals.begin(), removals.end());
   removals.resize(removals.size() - kMaxRemovals);
   for (const auto& [version, key] : removals) {
-    m_forgottenRemovals = std::max(m_forgottenRemovals, version);
+    m_prunedVersion = std::max(m_prunedVersion, version);
     m_itemBytes -= BytesOf(m_items.at(key));
     m_items.erase(key);
   }
@@ -237,8 +239,9 @@
 {
   wire::ConfigStateT state;
   state.version = m_version.Get();
-  // A version above ours can't come from this log; the receiver ignores what is not newer.
-  const bool whole = haveVersion.IsNone() || haveVersion.Get() < m_forgottenRemovals;
+  // A version newer than m_version is not from this log; the receiver ignores versions that are not
+  // newer than its own.
+  const bool whole = haveVersion.IsNone() || haveVersion.Get() < m_prunedVersion;
   state.fromVersion = whole ? 0 : haveVersion.Get();
   for (const auto& [key, item] : m_items) {
     const bool wanted = whole ? !item.deleted : item.version > haveVersion.Get();
@@ -270,14 +273,15 @@
 {
   *this = CatalogueTable();
   m_version = LogIndex(snapshot.catalogueVersion);
-  // Which removals the sender had forgotten is unknown; a whole copy is always right.
-  m_forgottenRemovals = snapshot.catalogueVersion;
+  // The snapshot doesn't record which removals were pruned; sending the whole catalogue is always
+  // correct.
+  m_prunedVersion = snapshot.catalogueVersion;
   for (const auto& item : snapshot.items) {
     m_itemBytes += BytesOf(*item);
     m_items.emplace(Key(item->kind, item->name), *item);
   }
   for (const auto& change : snapshot.changes) {
-    Remember(*change);
+    AddChange(*change);
   }
 }
 
--- a/src/control/context.cpp
+++ b/src/control/context.cpp
@@ -5,8 +5,8 @@
 namespace {
 
 constexpr Duration kFreshQuorum = std::chrono::seconds(1);
-/// Beyond what one write takes, more in the queue only makes it older when it arrives.
-constexpr std::size_t kQueueRoomBytes = 64 * 1024;
+/// About what one write to the socket takes; a longer queue only delays newer state.
+constexpr std::size_t kMaxQueuedBytes = 64 * 1024;
 
 } // namespace
 
@@ -30,9 +30,9 @@
   return ready && replication.quorumHeardAt + kFreshQuorum >= now;
 }
 
-bool ControlContext::HasRoom(const ProcessId& peer) const
+bool ControlContext::HasQueueCapacity(const ProcessId& peer) const
 {
-  return queuedBytes == nullptr || !*queuedBytes || (*queuedBytes)(peer) < kQueueRoomBytes;
+  return queuedBytes == nullptr || !*queuedBytes || (*queuedBytes)(peer) < kMaxQueuedBytes;
 }
 
 bool ControlContext::IsUp(const ProcessId& peer) const
--- a/src/control/document_service.cpp
+++ b/src/control/document_service.cpp
@@ -10,9 +10,9 @@
 
 using namespace std::chrono_literals;
 
-/// Callers turn to another process after a second without an answer.
-constexpr Duration kAnswerWithin = 950ms;
-/// Open calls, so that a flood of them can't fill the memory.
+/// Callers try another process after one second without an answer.
+constexpr Duration kAnswerTimeout = 950ms;
+/// Limits the memory that open calls take.
 constexpr std::size_t kMaxOpenCalls = 64;
 
 OutsideAnswer Unavailable(std::string reason)
@@ -45,7 +45,7 @@
     return;
   }
   Put put{ exchange, document.value().version, std::move(text), context.now };
-  if (Settle(context, put, respond)) {
+  if (TryAnswer(context, put, respond)) {
     return;
   }
   wire::PutDocumentT command;
@@ -58,9 +58,9 @@
   m_puts.push_back(std::move(put));
 }
 
-// What is applied is committed: a majority has synced it, and no loss that the installation bears
-// takes it back. So an acknowledgement rests on the applied state alone.
-bool DocumentService::Settle(ControlContext& context, const Put& put, const Respond& respond)
+// An applied document is committed: a majority has synced it to disk, so it survives every failure
+// that the installation tolerates. The applied state alone is enough to acknowledge it.
+bool DocumentService::TryAnswer(ControlContext& context, const Put& put, const Respond& respond)
 {
   const StoredDocument& stored = context.state.GetDocument();
   if (stored.version < put.version) {
@@ -95,10 +95,10 @@
 void DocumentService::Tick(ControlContext& context, const Respond& respond)
 {
   std::erase_if(m_puts, [&](const Put& put) {
-    if (Settle(context, put, respond)) {
+    if (TryAnswer(context, put, respond)) {
       return true;
     }
-    const bool late = context.now - put.since > kAnswerWithin;
+    const bool late = context.now - put.since > kAnswerTimeout;
     if (late) {
       respond(put.exchange, Unavailable("not committed in time; it may still be"));
     }
@@ -112,7 +112,7 @@
                                   : OutsideAnswer{ OutsideStatus::kDone, stored.text, {}, {} });
       return true;
     }
-    const bool late = context.now - read.ticket.asked > kAnswerWithin;
+    const bool late = context.now - read.ticket.asked > kAnswerTimeout;
     if (late) {
       respond(read.exchange, Unavailable("no quorum confirmed this leader"));
     }
--- a/src/control/membership.cpp
+++ b/src/control/membership.cpp
@@ -8,13 +8,13 @@
 
 namespace {
 
-/// \brief Timers of groups may run late by this; news are tended at once.
-constexpr Duration kTendInterval = std::chrono::milliseconds(250);
+/// \brief Maximum delay of group timers; observed changes are processed in the next tick.
+constexpr Duration kReconcileInterval = std::chrono::milliseconds(250);
 constexpr Duration kSweepInterval = std::chrono::seconds(10);
-constexpr Duration kForgetVmAfter = std::chrono::hours(1);
+constexpr Duration kRemoveVmAfter = std::chrono::hours(1);
 constexpr Duration kReportWaitLimit = std::chrono::seconds(5);
 constexpr std::size_t kMaxWaitingReports = 20'000;
-constexpr Duration kCutGrace = std::chrono::milliseconds(0);
+constexpr Duration kNoGrace = std::chrono::milliseconds(0);
 
 std::string Key(const char* what, GroupId group)
 {
@@ -43,14 +43,14 @@
   return record;
 }
 
-/// \brief Whether the peer is the agent that speaks for the VM.
-bool SpeaksFor(const ControlContext& context, const ProcessId& peer, const VmId& vm)
+/// \brief Whether the peer is the recorded agent of the VM.
+bool IsAgentOf(const ControlContext& context, const ProcessId& peer, const VmId& vm)
 {
   const VmRow* row = context.state.GetGroups().FindVm(vm);
   return row != nullptr && row->record.process == peer.Get();
 }
 
-/// \brief The longest that a draining group's work may take.
+/// \brief Time limit for the remaining work of a draining group.
 Duration DrainGrace(const ControlContext& context, const EntryName& entry)
 {
   if (const ModelSpec* model = context.catalogue.FindModel(entry)) {
@@ -66,7 +66,7 @@
 
 void TargetMembership::OnLeaderStart(const ControlContext&)
 {
-  // What an earlier term of leadership heard and granted may be long out of date.
+  // Reports and grants of an earlier term of leadership may be out of date.
   m_groups.clear();
   m_waiting.clear();
 }
@@ -88,12 +88,12 @@
   if (vm.IsNone()) {
     return;
   }
-  VmLive& live = m_vms[vm];
+  VmRuntimeState& live = m_vms[vm];
   const bool otherAlive =
     !live.process.IsNone() && live.process != peer && live.connected && context.IsUp(live.process);
   if (otherAlive) {
-    // Two agents were configured for one VM. Taking both in turn would let each believe that it
-    // holds the VM's group; the first one stays until it goes.
+    // Two agents are configured for one VM. Accepting both in turn would assign the VM's group to
+    // each of them, so the first one is kept until it disconnects.
     context.outbox.emplace_back(MakeEvent(
       EventNumber::kVmAnnouncedTwice,
       { { "vm", vm.Get() }, { "holder", live.process.Get() }, { "refused", peer.Get() } }));
@@ -132,7 +132,7 @@
   }
   const auto group = m_groups.find(row->group);
   if (live.reportedGroup != row->group && group != m_groups.end()) {
-    // The agent was restarted and forgot its group: it is told again.
+    // The agent has restarted without its group: send the assignment again.
     group->second.accepted.erase(vm);
   }
   const GroupRow* reported = context.state.GetGroups().FindGroup(live.reportedGroup);
@@ -151,7 +151,7 @@
                                      const wire::AssignReplyT& reply)
 {
   const auto found = m_groups.find(GroupId(reply.group));
-  if (found != m_groups.end() && reply.accepted && SpeaksFor(context, peer, VmId(reply.vm))) {
+  if (found != m_groups.end() && reply.accepted && IsAgentOf(context, peer, VmId(reply.vm))) {
     found->second.accepted.insert(VmId(reply.vm));
   }
 }
@@ -162,7 +162,7 @@
 {
   const auto found = m_groups.find(GroupId(released.group));
   const bool sameEpoch = released.epoch == released.group;
-  if (found != m_groups.end() && sameEpoch && SpeaksFor(context, peer, VmId(released.vm))) {
+  if (found != m_groups.end() && sameEpoch && IsAgentOf(context, peer, VmId(released.vm))) {
     found->second.released.insert(VmId(released.vm));
     found->second.nextOrders = TimePoint{};
     ++m_observations;
@@ -180,7 +180,7 @@
   if (row == nullptr || !MayHoldLease(context, peer, report)) {
     return;
   }
-  GroupLive& live = m_groups[row->group];
+  GroupRuntimeState& live = m_groups[row->group];
   const bool changed =
     !live.reported || live.ready != report.ready || live.missing.size() != report.missing.size();
   m_observations += changed ? 1 : 0;
@@ -194,7 +194,7 @@
   for (const std::string& vm : report.missing) {
     live.missing.emplace_back(vm);
   }
-  NoteBroken(context, *row, live);
+  UpdateBrokenSince(context, *row, live);
 }
 
 bool TargetMembership::MayHoldLease(const ControlContext& context,
@@ -203,15 +203,15 @@
 {
   const GroupRow* row = context.state.GetGroups().FindGroup(GroupId(report.group));
   return row != nullptr && !row->dissolved && report.epoch == row->group.Get() &&
-         row->head.Get() == report.vm && SpeaksFor(context, peer, row->head);
+         row->head.Get() == report.vm && IsAgentOf(context, peer, row->head);
 }
 
 void TargetMembership::AnswerReports(ControlContext& context)
 {
-  // A lease granted by a leader that was deposed without noticing would outlive the wait of its
-  // successor, and a VM would be in two groups. So a grant, too, waits for the quorum: a leader
-  // that a quorum confirmed after the report came in can't have had a successor before, and the
-  // holder counts from before it sent the report.
+  // A lease granted by a leader that is not aware of being deposed could outlive the time that its
+  // successor waits, and a VM would be in two groups. So a grant waits for a quorum: a leader that
+  // a quorum confirmed after the report arrived had no successor by then, and the holder measures
+  // its lease from before it sent the report.
   while (!m_waiting.empty() && IsConfirmed(context, m_waiting.front().ticket)) {
     const WaitingReport waiting = std::move(m_waiting.front());
     m_waiting.pop_front();
@@ -234,7 +234,7 @@
 
 TimePoint TargetMembership::LeaseEnd(const ControlContext& context, GroupId group) const
 {
-  // A predecessor may have granted a lease up to the moment at which this leader was elected.
+  // An earlier leader may have granted a lease up to the election of this leader.
   TimePoint latest = context.leaderSince;
   const auto found = m_groups.find(group);
   if (found != m_groups.end()) {
@@ -246,7 +246,7 @@
 
 bool TargetMembership::IsServing(const ControlContext& context, const GroupRow& row) const
 {
-  const GroupLive* live = FindGroup(row.group);
+  const GroupRuntimeState* live = FindGroup(row.group);
   return live != nullptr && !row.dissolved && live->reported && live->ready &&
          context.now - live->lastReport < kReportTimeout;
 }
@@ -254,11 +254,11 @@
 bool TargetMembership::IsReachable(const ControlContext& context, const VmRow& row) const
 {
   const VmId vm(row.record.vm);
-  const VmLive* live = FindVm(vm);
+  const VmRuntimeState* live = FindVm(vm);
   if (live != nullptr && live->connected && context.now - live->lastHeard < kAnnounceTimeout) {
     return true;
   }
-  const GroupLive* group = FindGroup(row.group);
+  const GroupRuntimeState* group = FindGroup(row.group);
   return group != nullptr && group->reported && context.now - group->lastReport < kReportTimeout &&
          std::find(group->missing.begin(), group->missing.end(), vm) == group->missing.end();
 }
@@ -266,17 +266,17 @@
 bool TargetMembership::IsLeaving(const ControlContext& context, const VmId& vm) const
 {
   const TargetSpec* target = context.catalogue.FindTarget(vm);
-  const VmLive* live = FindVm(vm);
+  const VmRuntimeState* live = FindVm(vm);
   return (target != nullptr && target->draining) || (live != nullptr && live->leaving);
 }
 
-bool TargetMembership::HasHeardAll(const ControlContext& context) const
+bool TargetMembership::HasInitialReports(const ControlContext& context) const
 {
   if (context.now - context.leaderSince >= kReportTimeout) {
     return true;
   }
   for (const auto& [group, row] : context.state.GetGroups().Groups()) {
-    const GroupLive* live = FindGroup(group);
+    const GroupRuntimeState* live = FindGroup(group);
     if (!row.dissolved && (live == nullptr || !live->reported)) {
       return false;
     }
@@ -284,13 +284,13 @@
   return true;
 }
 
-const VmLive* TargetMembership::FindVm(const VmId& vm) const
+const VmRuntimeState* TargetMembership::FindVm(const VmId& vm) const
 {
   const auto found = m_vms.find(vm);
   return found == m_vms.end() ? nullptr : &found->second;
 }
 
-const GroupLive* TargetMembership::FindGroup(GroupId group) const
+const GroupRuntimeState* TargetMembership::FindGroup(GroupId group) const
 {
   const auto found = m_groups.find(group);
   return found == m_groups.end() ? nullptr : &found->second;
@@ -300,43 +300,44 @@
 {
   AnswerReports(context);
   const GroupTable& table = context.state.GetGroups();
-  const bool news = table.Revision() != m_tendedRevision || m_observations != m_tendedObservations;
-  if (!news && context.now < m_nextTend) {
+  const bool isChanged =
+    table.Revision() != m_reconciledRevision || m_observations != m_reconciledObservations;
+  if (!isChanged && context.now < m_nextReconcile) {
     return;
   }
-  m_nextTend = context.now + kTendInterval;
-  m_tendedObservations = m_observations;
-  if (table.Revision() != m_tendedRevision) {
-    m_tendedRevision = table.Revision();
+  m_nextReconcile = context.now + kReconcileInterval;
+  m_reconciledObservations = m_observations;
+  if (table.Revision() != m_reconciledRevision) {
+    m_reconciledRevision = table.Revision();
     std::erase_if(m_groups,
                   [&](const auto& item) { return table.FindGroup(item.first) == nullptr; });
   }
-  TendGroups(context);
-  DrainLeaving(context);
+  ReconcileGroups(context);
+  DrainGroupsOfLeavingVms(context);
   if (context.now >= m_nextSweep) {
     m_nextSweep = context.now + kSweepInterval;
-    ForgetVms(context);
+    RemoveSilentVms(context);
     context.proposer.Forget(context.now);
   }
 }
 
-void TargetMembership::TendGroups(ControlContext& context)
+void TargetMembership::ReconcileGroups(ControlContext& context)
 {
   const bool mayOrder = context.HasFreshQuorum();
   for (const auto& [group, row] : context.state.GetGroups().Groups()) {
     const auto [found, isNew] = m_groups.try_emplace(group);
-    GroupLive& live = found->second;
+    GroupRuntimeState& live = found->second;
     if (live.firstSeen == TimePoint{}) {
       live.firstSeen = context.now;
     }
-    NoteBroken(context, row, live);
+    UpdateBrokenSince(context, row, live);
     if (!mayOrder) {
       continue;
     }
     if (row.dissolved) {
-      TendDissolved(context, row, live);
+      ReconcileDissolved(context, row, live);
     } else if (row.draining) {
-      TendDraining(context, row, live);
+      ReconcileDraining(context, row, live);
     } else if (live.accepted.size() < row.members.size() && context.now >= live.nextOrders) {
       live.nextOrders = context.now + kOrderInterval;
       SendAssigns(context, row, live);
@@ -344,9 +345,9 @@
   }
 }
 
-void TargetMembership::NoteBroken(const ControlContext& context,
-                                  const GroupRow&,
-                                  GroupLive& live) const
+void TargetMembership::UpdateBrokenSince(const ControlContext& context,
+                                         const GroupRow&,
+                                         GroupRuntimeState& live) const
 {
   const TimePoint heard = std::max({ live.lastReport, live.firstSeen, context.leaderSince });
   const bool silent = context.now - heard >= kReportTimeout;
@@ -359,7 +360,7 @@
 
 void TargetMembership::SendAssigns(ControlContext& context,
                                    const GroupRow& row,
-                                   GroupLive& live) const
+                                   GroupRuntimeState& live) const
 {
   wire::AssignT assign;
   assign.group = row.group.Get();
@@ -401,7 +402,9 @@
   context.SendMessage(agent, release);
 }
 
-void TargetMembership::TendDraining(ControlContext& context, const GroupRow& row, GroupLive& live)
+void TargetMembership::ReconcileDraining(ControlContext& context,
+                                         const GroupRow& row,
+                                         GroupRuntimeState& live)
 {
   if (!live.drainSince) {
     live.drainSince = context.now;
@@ -425,11 +428,13 @@
   }
 }
 
-void TargetMembership::TendDissolved(ControlContext& context, const GroupRow& row, GroupLive& live)
+void TargetMembership::ReconcileDissolved(ControlContext& context,
+                                          const GroupRow& row,
+                                          GroupRuntimeState& live)
 {
   const bool leaseEnded = context.now >= LeaseEnd(context, row.group);
-  // The head goes first: while it may still serve, a member that is given away would be in two
-  // groups. The head counts a member as present for up to the member timeout after its last beat.
+  // The head is released first: a member freed while the head may still serve would be in two
+  // groups. The head counts a member as present until the member timeout after its last heartbeat.
   const bool headDone = leaseEnded || live.released.contains(row.head);
   const bool sendNow = context.now >= live.nextOrders;
   if (sendNow) {
@@ -447,12 +452,12 @@
       context.proposer.ProposeOnce(context.now, Key("free ", row.group) + " " + vm.Get(), command);
     }
     if (sendNow && !released && (headDone || vm == row.head)) {
-      SendRelease(context, row, vm, kCutGrace);
+      SendRelease(context, row, vm, kNoGrace);
     }
   }
 }
 
-void TargetMembership::DrainLeaving(ControlContext& context)
+void TargetMembership::DrainGroupsOfLeavingVms(ControlContext& context)
 {
   const auto drain = [&](const VmId& vm) {
     const VmRow* row = context.state.GetGroups().FindVm(vm);
@@ -476,14 +481,14 @@
   }
 }
 
-void TargetMembership::ForgetVms(ControlContext& context)
+void TargetMembership::RemoveSilentVms(ControlContext& context)
 {
-  if (context.now - context.leaderSince < kForgetVmAfter) {
+  if (context.now - context.leaderSince < kRemoveVmAfter) {
     return;
   }
   for (const auto& [vm, row] : context.state.GetGroups().Vms()) {
-    const VmLive* live = FindVm(vm);
-    const bool silent = live == nullptr || context.now - live->lastHeard >= kForgetVmAfter;
+    const VmRuntimeState* live = FindVm(vm);
+    const bool silent = live == nullptr || context.now - live->lastHeard >= kRemoveVmAfter;
     if (silent && row.group.IsNone()) {
       wire::RemoveVmT command;
       command.vm = vm.Get();
@@ -492,7 +497,7 @@
   }
   std::erase_if(m_vms, [&](const auto& item) {
     return !item.second.connected && !item.second.leaving &&
-           context.now - item.second.lastHeard >= kForgetVmAfter;
+           context.now - item.second.lastHeard >= kRemoveVmAfter;
   });
 }
 
--- a/src/control/route_distribution.cpp
+++ b/src/control/route_distribution.cpp
@@ -155,7 +155,7 @@
   for (const auto& [group, row] : m_rows) {
     m_closed.insert(group);
     if (!rows.contains(group) && row.route.state == wire::RouteState::Open) {
-      const GroupLive* live = membership.FindGroup(group);
+      const GroupRuntimeState* live = membership.FindGroup(group);
       context.outbox.emplace_back(MakeEvent(
         EventNumber::kGroupNotServing,
         { { "group", std::to_string(group.Get()) },
@@ -279,7 +279,7 @@
 {
   // A new leader that sent updates before the heads have reported would remove all routes at once.
   // Until then the entries keep the routes of its predecessor.
-  if (!context.HasFreshQuorum() || !membership.HasHeardAll(context)) {
+  if (!context.HasFreshQuorum() || !membership.HasInitialReports(context)) {
     return;
   }
   const std::pair revisions(context.state.GetGroups().Revision(), membership.Observations());
--- a/src/control/target_relay.cpp
+++ b/src/control/target_relay.cpp
@@ -50,7 +50,8 @@
 void TargetRelay::Tick(ControlContext& context, const TargetTable& targets)
 {
   for (auto& [process, pending] : m_pending) {
-    if (pending.targets.empty() || context.now < pending.due || !context.HasRoom(process)) {
+    if (pending.targets.empty() || context.now < pending.due ||
+        !context.HasQueueCapacity(process)) {
       continue;
     }
     wire::TargetsHeardT heard;
--- a/tests/unit/control_catalogue_test.cpp
+++ b/tests/unit/control_catalogue_test.cpp
@@ -15,7 +15,7 @@
 
   OneControl() { control.Lead(1); }
 
-  /// \brief Calls and ticks until the call is answered.
+  /// \brief Sends a call and ticks until it is answered.
   Answer Call(const std::string& method, const std::string& target, const std::string& body = "")
   {
     const std::uint64_t exchange = ++m_exchange;
@@ -58,9 +58,9 @@
   EXPECT_EQ(test.Call("GET", "/admin/v1/catalogue/model/other").status, 404U);
 }
 
-// Symptom: an operator's change is gone although the answer was "done".
-// Sequence: two operators read revision 1; both write; the second write overwrites the first.
-// Cause: writes that don't state what they were based on, or a check that is not in the log.
+// Guards against lost updates: two operators read revision 1 and both write, and the second write
+// overwrites the first, which was already acknowledged. This happens if writes don't name the
+// revision that they are based on, or if it is not checked when the log is applied.
 TEST(ControlCatalogue, OfTwoOperatorsWithEqualRevisionsExactlyOneWins)
 {
   OneControl test;
@@ -80,7 +80,7 @@
     ASSERT_TRUE(first && second);
     EXPECT_EQ(first->status, 200U);
     EXPECT_EQ(second->status, 409U);
-    SECTION("the loser is shown what stands now")
+    SECTION("the refused operator receives the current entry")
     {
       EXPECT_THAT(Text(second->body), HasSubstr("has revision 2, not 1"));
       EXPECT_THAT(Text(second->body.at("current")), HasSubstr("\"v2\""));
@@ -91,9 +91,9 @@
   EXPECT_EQ(now.body.at("revision").to_number<int>(), 2);
 }
 
-// Symptom: a change that was sent again after a lost answer undoes a later change.
-// Sequence: A's change commits, its answer is lost; B changes the entry; A sends again.
-// Cause: applying by content instead of remembering the change's id and first outcome.
+// Guards against a repeated change that undoes a later one: A's change commits but its answer is
+// lost, B changes the entry, and A sends its change again. This happens if the change id and its
+// first outcome are not recorded.
 TEST(ControlCatalogue, AResentChangeTakesEffectOnceAndGetsItsFirstOutcome)
 {
   OneControl test;
@@ -102,11 +102,11 @@
   ASSERT_EQ(first.status, 200U);
   ASSERT_EQ(test.Post(Change("b", ModelWrite("hire-assist", "v2", "null"))).status, 200U);
 
-  SECTION("the first outcome is told again and nothing changes")
+  SECTION("the first outcome is returned again and nothing changes")
   {
     EXPECT_EQ(Text(test.Post(change).body), Text(first.body));
   }
-  SECTION("also when both sendings were on their way in the log")
+  SECTION("also when both copies of the change are in the log")
   {
     test.log->holdBack = true;
     const std::string other = Change("d", ModelWrite("hire-assist", "v4", "2"));
@@ -122,7 +122,7 @@
                 .to_number<int>(),
               3);
   }
-  SECTION("a refused change, too, keeps its first outcome")
+  SECTION("a refused change keeps its first outcome too")
   {
     const std::string refused = Change("e", ModelWrite("hire-assist", "v9", "1"));
     EXPECT_EQ(test.Post(refused).status, 409U);
@@ -132,7 +132,7 @@
   {
     EXPECT_EQ(test.Post(Change("a", ModelWrite("hire-assist", "v7", "null"))).status, 409U);
   }
-  SECTION("the memory survives a snapshot")
+  SECTION("the outcomes survive a snapshot")
   {
     const auto snapshot = test.control.role->TakeSnapshot();
     test.control.Restart(snapshot, test.control.applied);
@@ -168,7 +168,7 @@
     EXPECT_EQ(shared.status, 409U);
     EXPECT_THAT(Text(shared.body), HasSubstr("share a token"));
   }
-  SECTION("after a removal an old revision doesn't fit the new entry")
+  SECTION("after a removal an old revision doesn't match the new entry")
   {
     const std::string removal =
       R"({"entry":{"kind":"model","name":"one"},"expectedRevision":1,"remove":true})";
@@ -179,7 +179,7 @@
   }
 }
 
-TEST(ControlCatalogue, ItsMemoryOfChangesIsBounded)
+TEST(ControlCatalogue, TheHistoryOfChangesIsBounded)
 {
   CatalogueTable table;
   const std::size_t large = CatalogueTable::kMaxChangeBytes / 10;
@@ -199,7 +199,7 @@
   EXPECT_TRUE(table.FindChange("c-30")->ok);
 }
 
-TEST(ControlCatalogue, BadCallsGetAClearAnswer)
+TEST(ControlCatalogue, InvalidCallsAreAnsweredWithAReason)
 {
   OneControl test;
   SECTION("no token and a wrong token")
@@ -207,7 +207,7 @@
     const auto outbox = test.control.Tick({ Called(1, "GET", "/admin/v1/status", "", "guess") });
     EXPECT_EQ(AnswerOf(outbox, 1)->status, 401U);
   }
-  SECTION("bad JSON and bad fields, all at once")
+  SECTION("invalid JSON, and several invalid fields in one answer")
   {
     EXPECT_EQ(test.Post("{").status, 400U);
     const Answer bad = test.Post(
@@ -227,7 +227,7 @@
     EXPECT_EQ(test.Call("GET", "/admin/v1/requests/xyz").status, 400U);
     EXPECT_EQ(test.Call("GET", "/admin/v1/requests/entry-1.1.1").status, 503U);
   }
-  SECTION("a process that doesn't lead names the one that does")
+  SECTION("a follower names the leader")
   {
     test.control.leader = false;
     test.control.leaderHint = ProcessId("control-2");
@@ -239,10 +239,9 @@
   }
 }
 
-// Symptom: a process goes on relying on a copy that operators changed long ago.
-// Sequence: the leader is cut off from the other controls in silence; a new leader commits a
-// change; the process asks the old leader, which confirms its old version.
-// Cause: a leader that answers from its own state without asking a quorum.
+// Guards against the confirmation of an outdated catalogue: the leader is partitioned from the
+// other control processes without noticing, a new leader commits a change, and the old leader
+// confirms the old version. This happens if a leader answers from its own state without a quorum.
 TEST(ControlCatalogue, ALeaderWithoutQuorumConfirmsNothing)
 {
   OneControl test;
@@ -258,7 +257,7 @@
     EXPECT_EQ(answers[0].second.nonce, 5U);
     EXPECT_EQ(answers[0].second.items.size(), 1U);
   }
-  SECTION("cut off, it answers neither processes nor operators")
+  SECTION("while partitioned, it answers neither processes nor operators")
   {
     test.control.cutOff = true;
     test.control.now += milliseconds(50);
--- a/tests/unit/control_membership_test.cpp
+++ b/tests/unit/control_membership_test.cpp
@@ -13,8 +13,8 @@
 
 const std::vector<std::string> kVms{ "vm-1", "vm-2", "vm-3", "vm-4" };
 
-/// \brief Forms one group of every usable free VM as soon as there are four.
-std::vector<PlannerAction> FormOfFour(TimePoint, const PlannerInput& input)
+/// \brief Forms one group as soon as four free and usable VMs exist.
+std::vector<PlannerAction> PlanGroupOfFour(TimePoint, const PlannerInput& input)
 {
   FormGroupAction form{ EntryName("hire-assist"), "v1", {} };
   for (const VmView& vm : input.vms) {
@@ -26,7 +26,7 @@
                                   : std::vector<PlannerAction>{};
 }
 
-/// \brief Controls over one log, four engine VMs and an entry connected to each.
+/// \brief Two control processes with one log; four engine VMs and an entry are connected to each.
 struct Fleet
 {
   std::shared_ptr<ScriptedLog> log = std::make_shared<ScriptedLog>();
@@ -36,7 +36,7 @@
   Fleet()
   {
     for (ControlNode* node : { &first, &second }) {
-      node->plan = FormOfFour;
+      node->plan = PlanGroupOfFour;
       node->Tick({ Up("entry-1", "entry") });
       for (const std::string& vm : kVms) {
         node->Tick({ Up("agent-" + vm, "agent"), Announced(vm) });
@@ -60,7 +60,7 @@
     }
   }
 
-  /// \returns The first group, formed by the first control.
+  /// \returns The first group, formed by the first control process.
   std::uint64_t Form()
   {
     const auto assigns = Sent<wire::AssignT>(first.Run(seconds(1)));
@@ -81,7 +81,7 @@
     }
   }
 
-  /// \brief Runs on while the head reports each second.
+  /// \brief Runs for some seconds while the head reports once a second.
   std::vector<ControlOutput> Serve(ControlNode& node, std::uint64_t group, int forSeconds)
   {
     std::vector<ControlOutput> all;
@@ -123,13 +123,13 @@
 {
   Fleet fleet;
   const std::uint64_t group = fleet.Form();
-  SECTION("orders are repeated until each member accepted")
+  SECTION("assignments are repeated until each member has accepted")
   {
     EXPECT_EQ(Sent<wire::AssignT>(fleet.first.Run(seconds(2))).size(), 8U);
     fleet.AcceptAll(fleet.first, group);
     EXPECT_THAT(Sent<wire::AssignT>(fleet.first.Run(seconds(2))), IsEmpty());
   }
-  SECTION("no route before the head reported the group ready")
+  SECTION("there is no route before the head has reported the group ready")
   {
     EXPECT_THAT(RoutesIn(fleet.first.Run(seconds(1))), IsEmpty());
     fleet.first.Tick({ Reported("vm-1", group, false) });
@@ -143,7 +143,7 @@
     EXPECT_TRUE(grants[0].second.granted);
     EXPECT_EQ(grants[0].second.leaseMillis, 4000U);
   }
-  SECTION("a ready group's route goes to the entry at once")
+  SECTION("a ready group's route is sent to the entry at once")
   {
     const auto routes = RoutesIn(told);
     ASSERT_EQ(routes.size(), 1U);
@@ -151,13 +151,13 @@
     EXPECT_EQ(routes[0].head, "agent-vm-1");
     EXPECT_EQ(routes[0].state, wire::RouteState::Open);
   }
-  SECTION("a missing member takes the route away at once")
+  SECTION("a missing member removes the route at once")
   {
     const auto routes = RoutesIn(fleet.first.Tick({ Reported("vm-1", group, false, { "vm-3" }) }));
     ASSERT_EQ(routes.size(), 1U);
     EXPECT_EQ(routes[0].state, wire::RouteState::Gone);
   }
-  SECTION("another agent than the head's gets no lease")
+  SECTION("an agent other than the head's gets no lease")
   {
     wire::GroupReportT report;
     report.group = group;
@@ -168,7 +168,7 @@
     ASSERT_EQ(grants.size(), 1U);
     EXPECT_FALSE(grants[0].second.granted);
   }
-  SECTION("a restarted agent that forgot its group is ordered again")
+  SECTION("a restarted agent without its group is assigned again")
   {
     fleet.first.Tick({ Announced("vm-2", "fabric-1", 0) });
     const auto assigns = Sent<wire::AssignT>(fleet.first.Run(seconds(1)));
@@ -177,12 +177,10 @@
   }
 }
 
-// Symptom: two heads serve with the same VM, and answers come from an engine that loads another
-// model's weights.
-// Sequence: a leader proposes a group, loses its lead before the commit, and its proposal is
-// committed by the next leader; that one, not knowing of it yet, proposed another group of the
-// same VMs.
-// Cause: checking that VMs are free in the proposer's view only.
+// Guards against two heads that serve with the same VM, which could answer while it loads another
+// model's weights. A leader proposes a group and loses leadership before the commit; the next
+// leader commits that proposal, but has already proposed another group of the same VMs. This
+// happens if only the proposer checks that the VMs are free.
 TEST(ControlMembership, NoVmJoinsTwoGroupsThroughAChangeOfLeaderMidAssignment)
 {
   Fleet fleet;
@@ -210,7 +208,7 @@
       EXPECT_EQ(assign.group, group);
     }
     fleet.first.Tick();
-    SECTION("both controls hold the same state, with each VM in one group")
+    SECTION("both control processes have the same state, with each VM in one group")
     {
       EXPECT_EQ(fleet.first.role->TakeSnapshot(), fleet.second.role->TakeSnapshot());
       ControlState state;
@@ -220,10 +218,10 @@
   }
 }
 
-// Symptom: a head goes on serving with members that its successor group already uses.
-// Sequence: the leader is cut off from the other controls in silence and still hears the head;
-// it grants a lease after its successor has waited out the longest one it knew of.
-// Cause: granting without knowing whether a quorum still follows.
+// Guards against a head that serves with members of a newer group: the leader is partitioned from
+// the other control processes without noticing, still receives the head's reports, and grants a
+// lease after its successor has waited for the end of the longest lease that it knew of. This
+// happens if a lease is granted without a quorum.
 TEST(ControlMembership, ALeaderWithoutQuorumGrantsNoLeaseAndGivesNoOrders)
 {
   Fleet fleet;
@@ -239,15 +237,15 @@
   EXPECT_THAT(Sent<wire::RoutesUpdateT>(outbox), IsEmpty());
 }
 
-// Symptom: a VM joins a new group while the old group's head still serves with it.
-// Sequence: a group's head is cut off or frozen; the group is dissolved and its VMs given away.
-// Cause: freeing by time alone, or counting the lease from the wrong moment.
+// Guards against a VM that joins a new group while the head of its old group still serves with it:
+// the head is disconnected or frozen, and the group is dissolved and its VMs are reassigned. This
+// happens if VMs are freed after a fixed time, or if the lease is measured from the wrong time.
 TEST(ControlMembership, AVmIsFreedOnlyAfterItsReleaseOrTheCertainEndOfTheLease)
 {
   Fleet fleet;
   fleet.first.plan = [&](TimePoint at, const PlannerInput& input) {
     if (input.groups.empty()) {
-      return FormOfFour(at, input);
+      return PlanGroupOfFour(at, input);
     }
     return std::vector<PlannerAction>{};
   };
@@ -276,7 +274,7 @@
     outbox = fleet.first.Tick({ ReleasedBy("vm-2", group) });
     EXPECT_THAT(FreedVms(fleet.first.Run(milliseconds(200))), IsEmpty());
   }
-  SECTION("an agent can't speak for another VM")
+  SECTION("an agent can't release another VM")
   {
     wire::ReleasedT released;
     released.vm = "vm-1";
@@ -285,13 +283,13 @@
     fleet.first.Tick({ From("agent-vm-2", std::move(released)) });
     EXPECT_THAT(FreedVms(fleet.first.Run(milliseconds(200))), IsEmpty());
   }
-  SECTION("nothing more is leased")
+  SECTION("no further lease is granted")
   {
     const auto grants = Sent<wire::LeaseGrantT>(fleet.first.Tick({ Reported("vm-1", group) }));
     ASSERT_EQ(grants.size(), 1U);
     EXPECT_FALSE(grants[0].second.granted);
   }
-  SECTION("with a silent head nothing is free before the lease has certainly ended")
+  SECTION("with a silent head no VM is freed before the lease has certainly ended")
   {
     std::vector<std::string> early;
     while (fleet.first.now < granted + milliseconds(4000)) {
@@ -299,7 +297,7 @@
       early.insert(early.end(), freed.begin(), freed.end());
     }
     EXPECT_THAT(early, IsEmpty());
-    SECTION("after that and the clocks' drift all are")
+    SECTION("after the lease and the clock drift all VMs are freed")
     {
       EXPECT_EQ(FreedVms(fleet.first.Run(seconds(1))).size(), 4U);
     }
@@ -328,11 +326,10 @@
   EXPECT_TRUE(state.GetGroups().Groups().empty());
 }
 
-// Symptom: right after a change of leader a VM is in two groups.
-// Sequence: the old leader grants a lease and dies; the new one, which granted none, dissolves the
-// group and frees its VMs at once.
-// Cause: taking "I granted nothing" for "nobody holds a lease".
-TEST(ControlMembership, ANewLeaderWaitsOutLeasesThatItCantAccountFor)
+// Guards against a VM in two groups after a change of leader: the old leader grants a lease and
+// fails; the new leader, which has granted none, dissolves the group and frees its VMs at once.
+// This happens if a new leader assumes that no lease exists because it granted none itself.
+TEST(ControlMembership, ANewLeaderWaitsForTheLeasesOfEarlierLeaders)
 {
   Fleet fleet;
   const std::uint64_t group = fleet.Form();
@@ -356,10 +353,10 @@
   EXPECT_EQ(FreedVms(fleet.second.Run(seconds(1))).size(), 4U);
 }
 
-// Symptom: a process is told that an old version is the newest, or a lease is refused to a group
-// that exists, right after a change of leader.
-// Sequence: the new leader has the committed commands in its log, but has not applied them yet.
-// Cause: taking the election for knowledge of what was committed.
+// Guards against answers from an outdated state after a change of leader: an old version is
+// confirmed as the newest, or a lease is refused to an existing group. The new leader has the
+// committed commands in its log but has not applied them yet. This happens if it answers as soon as
+// it is elected.
 TEST(ControlMembership, ANewLeaderAnswersNothingBeforeItAppliedWhatWasCommitted)
 {
   Fleet fleet;
@@ -378,7 +375,7 @@
   EXPECT_THAT(Sent<wire::ConfigStateT>(outbox), IsEmpty());
   EXPECT_THAT(Sent<wire::LeaseGrantT>(outbox), IsEmpty());
   EXPECT_EQ(AnswerOf(outbox, 7)->status, 503U);
-  SECTION("with its first command applied, it does")
+  SECTION("after its first command is applied, it answers")
   {
     fleet.log->Commit();
     fleet.log->holdBack = false;
@@ -390,10 +387,10 @@
   }
 }
 
-// Symptom: every caller is refused for seconds after a change of leader although all groups serve.
-// Sequence: the new leader hears the entries before the heads and tells them that no group serves.
-// Cause: taking "not heard yet" for "gone".
-TEST(ControlMembership, ANewLeaderTakesNoRouteAwayBeforeItHeardTheHeads)
+// Guards against callers refused for seconds after a change of leader although all groups serve:
+// the entries connect to the new leader before the heads do, and it removes all their routes. This
+// happens if a group without a report yet is treated as gone.
+TEST(ControlMembership, ANewLeaderKeepsRoutesUntilTheHeadsHaveReported)
 {
   Fleet fleet;
   const std::uint64_t group = fleet.Form();
@@ -403,7 +400,7 @@
   fleet.second.now = fleet.first.now;
   fleet.second.Lead(2);
   EXPECT_THAT(Sent<wire::RoutesUpdateT>(fleet.second.Run(seconds(2))), IsEmpty());
-  SECTION("once the head reported, the entry gets the whole set")
+  SECTION("once the head has reported, the entry gets all routes")
   {
     auto outbox = fleet.second.Tick({ Reported("vm-1", group) });
     const auto rest = fleet.second.Run(milliseconds(300));
@@ -416,9 +413,9 @@
   }
 }
 
-// Symptom: a target that is being taken away gets new work, or its work is cut.
-// Sequence: an operator marks the target, or its agent is told to stop, under load.
-// Cause: freeing the group before its head has finished.
+// Guards against new work for a target that is being removed, and against aborting its running
+// work. An operator marks the target as draining, or its agent is stopped, under load. Work is
+// aborted if the group is freed before its head has finished.
 TEST(ControlMembership, ALeavingTargetDrainsItsGroup)
 {
   for (const bool byCatalogue : { true, false }) {
@@ -447,7 +444,7 @@
         fleet.first.Tick({ From("agent-vm-3", std::move(announce)) });
       }
       const auto outbox = fleet.first.Run(milliseconds(400));
-      SECTION("entries are told at once, and the head is told to finish its work")
+      SECTION("entries are notified at once, and the head is ordered to finish its work")
       {
         const auto routes = RoutesIn(outbox);
         ASSERT_EQ(routes.size(), 1U);
@@ -457,7 +454,7 @@
         EXPECT_EQ(releases[0].first, "agent-vm-1");
         EXPECT_EQ(releases[0].second.graceMillis, 120000U);
       }
-      SECTION("while the head works on, its lease is granted and nobody is freed")
+      SECTION("while the head still works, its lease is granted and no VM is freed")
       {
         for (int second = 0; second < 10; ++second) {
           const auto grants =
@@ -467,7 +464,7 @@
           EXPECT_THAT(FreedVms(fleet.first.Run(seconds(1))), IsEmpty());
         }
       }
-      SECTION("once the head is done the group ends")
+      SECTION("once the head has finished, the group ends")
       {
         fleet.first.Tick({ ReleasedBy("vm-1", group) });
         fleet.first.Run(milliseconds(300));
@@ -483,12 +480,12 @@
   }
 }
 
-// Symptom: after a dark fabric domain is back, its groups never serve again or serve twice.
-// Sequence: all agents of a domain vanish; the group's lease ends; the planner gives the group up
-// and its VMs are free, but unreachable; the domain comes back and its agents announce the old
-// group.
-// Cause: agents that are not told to drop what is gone, or free VMs used while they are dark.
-TEST(ControlMembership, AFabricDomainGoesDarkAndComesBack)
+// Guards against groups that never serve again, or serve twice, after a failed fabric domain
+// recovers. All agents of a domain disconnect, the group's lease ends, the planner dissolves the
+// group, and its VMs are free but unreachable; then the agents reconnect and announce the old
+// group. The failure occurs if they are not ordered to release the dissolved group, or if
+// unreachable VMs are used.
+TEST(ControlMembership, AFabricDomainFailsAndRecovers)
 {
   Fleet fleet;
   const std::uint64_t group = fleet.Form();
@@ -497,31 +494,33 @@
   fleet.first.plan = [](TimePoint at, const PlannerInput& input) {
     if (!input.groups.empty() && input.groups[0].brokenSince &&
         at - *input.groups[0].brokenSince > seconds(10)) {
-      return std::vector<PlannerAction>{ DissolveGroupAction{ input.groups[0].group, "dark" } };
+      return std::vector<PlannerAction>{ DissolveGroupAction{ input.groups[0].group,
+                                                              "unreachable" } };
     }
-    return FormOfFour(at, input);
+    return PlanGroupOfFour(at, input);
   };
   for (const std::string& vm : kVms) {
     fleet.first.Tick({ Down("agent-" + vm) });
   }
-  const auto dark = fleet.first.Run(seconds(30));
-  SECTION("the route is gone, the group given up, and its VMs are not used while dark")
+  const auto duringOutage = fleet.first.Run(seconds(30));
+  SECTION(
+    "the route is removed, the group is dissolved, and its VMs are not used while unreachable")
   {
-    const auto routes = RoutesIn(dark);
+    const auto routes = RoutesIn(duringOutage);
     ASSERT_EQ(routes.size(), 1U);
     EXPECT_EQ(routes[0].state, wire::RouteState::Gone);
-    EXPECT_EQ(FreedVms(dark).size(), 4U);
-    EXPECT_THAT(Sent<wire::AssignT>(dark), IsEmpty());
+    EXPECT_EQ(FreedVms(duringOutage).size(), 4U);
+    EXPECT_THAT(Sent<wire::AssignT>(duringOutage), IsEmpty());
   }
-  SECTION("back again, they are told to drop the old group and form one new group")
+  SECTION("after the recovery, they are ordered to release the old group and form one new group")
   {
-    std::vector<ControlOutput> back;
+    std::vector<ControlOutput> afterRecovery;
     for (const std::string& vm : kVms) {
       const auto part =
         fleet.first.Tick({ Up("agent-" + vm, "agent"), Announced(vm, "fabric-1", group) });
-      back.insert(back.end(), part.begin(), part.end());
+      afterRecovery.insert(afterRecovery.end(), part.begin(), part.end());
     }
-    const auto releases = Sent<wire::ReleaseT>(back);
+    const auto releases = Sent<wire::ReleaseT>(afterRecovery);
     ASSERT_EQ(releases.size(), 4U);
     EXPECT_EQ(releases[0].second.group, group);
     const auto assigns = Sent<wire::AssignT>(fleet.first.Run(seconds(1)));
@@ -530,10 +529,10 @@
   }
 }
 
-// Symptom: a group is given up although it serves.
-// Sequence: one member can't reach control, but its head beats with it.
-// Cause: judging a member by its own connection only.
-TEST(ControlMembership, AMemberThatOnlyItsHeadReachesCountsAsThere)
+// Guards against dissolving a group that serves: one member can't reach control, but exchanges
+// heartbeats with its head. This happens if a member's reachability depends on its own connection
+// alone.
+TEST(ControlMembership, AMemberReachedOnlyByItsHeadIsReachable)
 {
   Fleet fleet;
   const std::uint64_t group = fleet.Form();
@@ -553,7 +552,7 @@
   ASSERT_EQ(seenVms.size(), 4U);
   EXPECT_TRUE(seenVms[2].reachable);
   EXPECT_FALSE(broken.back());
-  SECTION("the reverse: control reaches the member, its head doesn't")
+  SECTION("a member that control reaches but its head does not breaks the group")
   {
     fleet.first.Tick({ Up("agent-vm-3", "agent"), Announced("vm-3", "fabric-1", group) });
     fleet.first.Tick({ Reported("vm-1", group, false, { "vm-3" }) });
@@ -608,7 +607,7 @@
   EXPECT_EQ(state.GetGroups().FindVm(VmId("vm-1"))->record.process, "agent-vm-1");
 }
 
-TEST(GroupTable, RefusesWhatWouldBreakItsRules)
+TEST(GroupTable, RefusesCommandsThatViolateItsInvariants)
 {
   GroupTable table;
   for (const std::string& vm : kVms) {
--- a/tests/unit/refused_calls_test.cpp
+++ b/tests/unit/refused_calls_test.cpp
@@ -18,9 +18,9 @@
   return "";
 }
 
-// Symptom: the log of control is full of one writer's entries, and what happened before is lost.
-// Sequence: it sends what can't be read, many times a second. Cause: a line for each call.
-TEST(RefusedCalls, OneLineASecondCountsThemAll)
+// Guards against a log that one caller fills, which evicts earlier entries: the caller sends calls
+// that can't be parsed, many times a second. This happens if each call is logged on its own line.
+TEST(RefusedCalls, OneEventASecondCountsAllCalls)
 {
   RefusedCalls refused;
   TimePoint now{ 1h };
@@ -36,7 +36,7 @@
     }
   }
   EXPECT_EQ(lines, 3);
-  SECTION("the last ones are told within a second")
+  SECTION("the last calls are reported within a second")
   {
     const std::optional<EventOut> report = refused.TakeReport(now + RefusedCalls::kInterval);
     ASSERT_TRUE(report.has_value());
--- a/tests/unit/serving_feed_test.cpp
+++ b/tests/unit/serving_feed_test.cpp
@@ -10,36 +10,36 @@
 using ::testing::IsEmpty;
 using tests::FeedWorld;
 
-// Symptom: a group with a dead member was noticed 1.5 s after its last answer.
-// Sequence: an entry complains of the head; another had an answer of it 1.2 s ago.
-// Cause: any answer within 1.5 s counted against the complaint.
+// Guards against the late detection of a failed group, 1.5 s after its last answer: an entry
+// reports the head as failing while another entry had an answer 1.2 s ago. This happens if any
+// answer within 1.5 s overrides the report.
 TEST(ServingFeed, AHeadFailsOnceNoEntryHadAnAnswerForHalfASecond)
 {
   FeedWorld world;
-  world.Tell("e1", 100, false);
-  SECTION("not while another entry has answers")
+  world.ReportHead("e1", 100, false);
+  SECTION("not while another entry receives answers")
   {
     world.now += 300ms;
-    world.Tell("e2", 700, true);
+    world.ReportHead("e2", 700, true);
     EXPECT_THAT(world.feed.FailingHeads(world.now), IsEmpty());
   }
-  SECTION("but half a second after the last")
+  SECTION("half a second after the last answer")
   {
     world.now += 300ms;
-    world.Tell("e2", 1000, true);
+    world.ReportHead("e2", 1000, true);
     EXPECT_TRUE(world.feed.FailingHeads(world.now).contains(InstanceId("h1")));
   }
-  SECTION("and no more once it answers again")
+  SECTION("no longer once it answers again")
   {
     world.now += 300ms;
-    world.Tell("e1", 0, false);
+    world.ReportHead("e1", 0, false);
     EXPECT_THAT(world.feed.FailingHeads(world.now), IsEmpty());
   }
 }
 
-// Symptom: a new leader closed groups of a model whose callers it had not counted yet.
-// Sequence: it hears the entries' counts twice within half a second.
-// Cause: the time before the first count was taken for time without requests.
+// Guards against a new leader that closes groups of a model with demand: it receives two counts of
+// the entries within half a second. This happens if the time before the first count is treated as
+// time without requests.
 TEST(ServingFeed, DemandIsRightFromTheSecondCountOn)
 {
   FeedWorld world;
@@ -49,7 +49,7 @@
   world.Ask("e1", world.Query(1010));
   EXPECT_NEAR(world.feed.Demand().at("large").requests, 20, 0.01);
   EXPECT_NEAR(world.feed.Demand().at("large").promptTokens, 2000, 1);
-  SECTION("and follows a burst within seconds")
+  SECTION("demand follows a burst within seconds")
   {
     for (std::uint64_t step = 1; step <= 12; ++step) {
       world.now += 500ms;
@@ -59,10 +59,11 @@
   }
 }
 
-// Symptom: for seconds after connections were reset, heads are divided evenly among entries of
-// which one has most callers, and models seem to have none. Sequence: an entry's connection breaks,
-// and it asks again half a second later. Cause: what it had counted went with the connection.
-TEST(ServingFeed, CallersAreRememberedWhileAnEntryConnectsAgain)
+// Guards against wrong shares after connection resets: for seconds, heads are divided evenly
+// although one entry has most of the callers, and models appear to have no demand. An entry
+// disconnects and queries again half a second later. This happens if its counts are dropped with
+// the connection.
+TEST(ServingFeed, DemandIsKeptWhileAnEntryReconnects)
 {
   FeedWorld world;
   world.Ask("e1", world.Query(1000));
@@ -70,11 +71,11 @@
   world.Ask("e1", world.Query(1010));
   world.feed.OnPeerDown(ProcessId("e1"));
   EXPECT_NEAR(world.feed.Demand().at("large").requests, 20, 0.01);
-  SECTION("and it is told everything anew")
+  SECTION("everything is sent to it again")
   {
     world.feed.SetTargets(std::vector<ServedTarget>{
       { InstanceId("h1"), "assist", "h1:80", FailureDomainId("a"), 28, false, "large" } });
-    world.feed.SetWhole(true);
+    world.feed.SetTargetsComplete(true);
     world.TakeFrames();
     world.now += 500ms;
     world.Ask("e1", world.Query(1020));
@@ -83,7 +84,7 @@
     ASSERT_EQ(frames.size(), 1U);
     EXPECT_TRUE(frames[0].envelope->body.AsServingState()->wholeTargets);
   }
-  SECTION("but not those of one that stays away")
+  SECTION("the demand of an entry that stays disconnected is dropped")
   {
     world.feed.OnPeerDown(ProcessId("e1"));
     world.now += 2s;
@@ -92,24 +93,24 @@
   }
 }
 
-// Symptom: an entry that was restarted refuses everything for seconds. Sequence: it had the list,
-// its connection breaks, it asks with nothing. Cause: what was sent on the connection that broke
-// counted as had.
-TEST(ServingFeed, AnEntryThatRestartsIsToldAllAtOnce)
+// Guards against a restarted entry that refuses all calls for seconds: it had the list of targets,
+// disconnects, and sends a query without state. This happens if state sent on the closed connection
+// counts as received.
+TEST(ServingFeed, ARestartedEntryReceivesEverythingAtOnce)
 {
   FeedWorld world;
-  world.feed.SetWhole(true);
+  world.feed.SetTargetsComplete(true);
   world.feed.SetTargets(std::vector<ServedTarget>{
     { InstanceId("h1"), "assist", "h1:80", FailureDomainId("a"), 28, false, "large" } });
   world.Ask("e1", {});
   ASSERT_EQ(world.TakeFrames().size(), 1U);
-  SECTION("not for a question that left before the answer came")
+  SECTION("not for a query sent before the answer arrived")
   {
     world.now += 10ms;
     world.Ask("e1", {});
     EXPECT_THAT(world.TakeFrames(), IsEmpty());
   }
-  SECTION("but once its connection broke")
+  SECTION("after its connection closed")
   {
     world.feed.OnPeerDown(ProcessId("e1"));
     world.now += 100ms;
@@ -120,17 +121,17 @@
   }
 }
 
-// Symptom: entries refuse while most heads are idle, for seconds after control was restarted.
-// Sequence: the new leader has heard of one head of two; its entries know both. Cause: heads that
-// it hadn't heard of were in nobody's share.
+// Guards against refused calls while most heads are idle, for seconds after a restart of control:
+// the new leader knows one of two heads while its entries know both. This happens if shares are
+// sent before all heads are known, because an unknown head is in no entry's share.
 TEST(ServingFeed, HeadsAreDividedOnceAllTargetsAreKnown)
 {
   FeedWorld world;
   const ServedTarget head{ InstanceId("h1"), "assist", "h1:80", FailureDomainId("a"), 28, false,
                            "large" };
-  const auto sharesTold = [&] {
+  const auto sharesSent = [&] {
     wire::ServingQueryT query = world.Query(1000);
-    query.haveTerm = 7; // Of the former leader.
+    query.haveTerm = 7; // The previous leader's term.
     query.haveTargets = 12;
     world.Ask("e1", std::move(query));
     world.Tick();
@@ -142,19 +143,20 @@
   };
   world.feed.SetTargets(std::vector<ServedTarget>{ head });
   for (int question = 0; question < 5; ++question) {
-    EXPECT_EQ(sharesTold(), 0U);
+    EXPECT_EQ(sharesSent(), 0U);
     world.now += 500ms;
   }
-  SECTION("which is told by its owner")
+  SECTION("shares are sent once the targets are complete")
   {
-    world.feed.SetWhole(true);
-    EXPECT_EQ(sharesTold(), 1U);
+    world.feed.SetTargetsComplete(true);
+    EXPECT_EQ(sharesSent(), 1U);
   }
 }
 
-// Symptom: the entry of one failure domain refuses while heads have free slots.
-// Sequence: it gets half of all callers. Cause: the slots were divided evenly.
-TEST(ServingFeed, EntriesAreToldTheirPartOfTheCallers)
+// Guards against an entry that refuses calls while heads have free slots: the only entry of a
+// failure domain gets half of all callers. This happens if the slots are divided evenly among
+// entries.
+TEST(ServingFeed, EntriesReceiveTheirPartOfTheRequests)
 {
   FeedWorld world;
   for (std::uint64_t step = 0; step < 8; ++step) {
@@ -162,20 +164,20 @@
     world.Ask("e2", world.Query(step * 10));
     world.now += 500ms;
   }
-  EXPECT_NEAR(world.ToldPart("e1").value_or(0), 0.75, 0.05);
-  EXPECT_NEAR(world.ToldPart("e2").value_or(0), 0.25, 0.05);
-  SECTION("again only when it changed")
+  EXPECT_NEAR(world.LastSentPart("e1").value_or(0), 0.75, 0.05);
+  EXPECT_NEAR(world.LastSentPart("e2").value_or(0), 0.25, 0.05);
+  SECTION("again only after a change")
   {
     world.outbox.clear();
     world.Ask("e1", world.Query(8 * 30));
-    EXPECT_EQ(world.ToldPart("e1"), std::nullopt);
+    EXPECT_EQ(world.LastSentPart("e1"), std::nullopt);
   }
-  SECTION("and keep some room when they had no callers lately")
+  SECTION("an entry without recent requests keeps a minimum part")
   {
     world.Ask("e3", world.Query(0));
     world.now += 500ms;
     world.Ask("e3", world.Query(0));
-    EXPECT_GT(world.ToldPart("e3").value_or(0), 0.1F);
+    EXPECT_GT(world.LastSentPart("e3").value_or(0), 0.1F);
   }
 }
 
