--- a/bench/placement.cpp
+++ b/bench/placement.cpp
@@ -54,9 +54,9 @@
   hire.fleet.policy.strandedWeight = 0.1;
   hire.fleet.days = 90;
   hire.rates = RatesOfLetter(hire.fleet.CountVms());
-  hire.rates.switches = 1.0 / 45;
-  hire.rates.blips = 1.0 / 20;
-  hire.rates.domains = 1.0 / 90;
+  hire.rates.rackOutages = 1.0 / 45;
+  hire.rates.fabricOutages = 1.0 / 20;
+  hire.rates.failureDomainOutages = 1.0 / 90;
   return hire;
 }
 
@@ -68,9 +68,9 @@
   registry.fleet.policy.downtimeWeight = 1;
   registry.fleet.policy.strandedWeight = 1;
   registry.rates = RatesOfLetter(registry.fleet.CountVms());
-  registry.rates.switches = 1.0 / 45;
-  registry.rates.blips = 1.0 / 20;
-  registry.rates.domains = 1.0 / 90;
+  registry.rates.rackOutages = 1.0 / 45;
+  registry.rates.fabricOutages = 1.0 / 20;
+  registry.rates.failureDomainOutages = 1.0 / 90;
   return registry;
 }
 
@@ -88,9 +88,9 @@
   full.fleet.policy.strandedWeight = 0.5;
   full.fleet.policy.weightLoadsAtOnce = 32;
   full.rates = RatesOfLetter(full.fleet.CountVms());
-  full.rates.switches = 2;
-  full.rates.blips = 2;
-  full.rates.domains = 1;
+  full.rates.rackOutages = 2;
+  full.rates.fabricOutages = 2;
+  full.rates.failureDomainOutages = 1;
   return full;
 }
 
@@ -185,7 +185,7 @@
                 result.strandedSeconds / 3600,
                 cost / 3600,
                 static_cast<unsigned long>(result.formed),
-                static_cast<unsigned long>(result.given),
+                static_cast<unsigned long>(result.ended),
                 Quantile(result.planMicros, 0.5),
                 Quantile(result.planMicros, 0.99));
     std::fflush(stdout);
--- a/include/gooseberrysail/placement/pool_plan.hpp
+++ b/include/gooseberrysail/placement/pool_plan.hpp
@@ -43,7 +43,7 @@
   const GroupModel* model = nullptr;
   std::uint32_t groups = 0; ///< Serving and forming ones.
   std::uint32_t wanted = 0; ///< Of free targets.
-  double work = 0;          ///< Groups that the present requests keep fully busy; 0 when not known.
+  double offeredLoad = 0;   ///< Groups that the present requests keep fully busy; 0 when not known.
 };
 
 struct PoolInput
@@ -123,7 +123,7 @@
 [[nodiscard]] const char* ToString(TakeoverVerdict verdict) noexcept;
 
 /// \brief What a model that lacks groups waits for.
-struct PlannedLack
+struct PlannedShortage
 {
   std::string model;
   TakeoverVerdict takeover = TakeoverVerdict::kNotNeeded;
@@ -141,7 +141,7 @@
   /// never opens: from then on each joins a group of that model as quickly as a former member.
   std::vector<PlannedStandby> standbys;
   std::vector<PlannedTakeover> takeovers;
-  std::vector<PlannedLack> lacks;
+  std::vector<PlannedShortage> shortages;
 };
 
 /// \brief Which groups to form of free targets, and which weights the others should hold.
--- a/src/control/engine_groups_planning.cpp
+++ b/src/control/engine_groups_planning.cpp
@@ -159,22 +159,22 @@
       continue;
     }
     told = pass.input.now;
-    const auto found = std::ranges::find(plan.lacks, model, &PlannedLack::model);
-    const PlannedLack lack = found != plan.lacks.end() ? *found : PlannedLack();
+    const auto found = std::ranges::find(plan.shortages, model, &PlannedShortage::model);
+    const PlannedShortage shortage = found != plan.shortages.end() ? *found : PlannedShortage();
     pass.events.push_back(MakeEvent(EventNumber::kTargetGroupsShort,
                                     { { "service", service },
                                       { "model", model },
                                       { "groups", std::to_string(need.groups) },
                                       { "wanted", std::to_string(need.wanted) },
-                                      { "work", ToDecimal(need.work) },
+                                      { "work", ToDecimal(need.offeredLoad) },
                                       { "free", DescribeFree(pool.free, model) },
                                       { "loadsLeft", std::to_string(pool.loadsLeft) },
                                       { "loading", std::to_string(m_staging.size()) },
-                                      { "place", lack.fabricDomain.Get() },
-                                      { "loadsToBegin", std::to_string(lack.loadsToBegin) },
-                                      { "loadsUnderWay", std::to_string(lack.loadsUnderWay) },
-                                      { "takeover", ToString(lack.takeover) },
-                                      { "gain", ToDecimal(lack.gain) } }));
+                                      { "place", shortage.fabricDomain.Get() },
+                                      { "loadsToBegin", std::to_string(shortage.loadsToBegin) },
+                                      { "loadsUnderWay", std::to_string(shortage.loadsUnderWay) },
+                                      { "takeover", ToString(shortage.takeover) },
+                                      { "gain", ToDecimal(shortage.gain) } }));
   }
 }
 
@@ -330,9 +330,9 @@
     const double atStart = static_cast<double>(targets) * (1 - kSparePart) * model.share;
     need.wanted = static_cast<std::uint32_t>(std::lround(atStart / model.size));
     if (const auto demand = pass.input.demand.find(model.name); demand != pass.input.demand.end()) {
-      const double work = GroupsOfWork(*service.engine, model, demand->second);
-      need.work = work;
-      need.wanted = std::max(need.wanted, WantedGroups(work));
+      const double offeredLoad = OfferedLoad(*service.engine, model, demand->second);
+      need.offeredLoad = offeredLoad;
+      need.wanted = std::max(need.wanted, WantedGroups(offeredLoad));
     }
     needs.push_back(need);
   }
--- a/src/placement/model_work.cpp
+++ b/src/placement/model_work.cpp
@@ -5,7 +5,7 @@
 
 namespace gooseberrysail {
 
-double GroupsOfWork(const EngineSpec& engine, const GroupModel& model, const ModelDemand& demand)
+double OfferedLoad(const EngineSpec& engine, const GroupModel& model, const ModelDemand& demand)
 {
   const double slots = std::max(engine.slots, 1U);
   const double reading =
@@ -16,9 +16,9 @@
   return model.pace * (reading + writing);
 }
 
-double GroupsForService(double groupsOfWork)
+double GroupsForService(double offeredLoad)
 {
-  return groupsOfWork + kStaffing * std::sqrt(groupsOfWork);
+  return offeredLoad + kStaffing * std::sqrt(offeredLoad);
 }
 
 Duration FullStep(const EngineSpec& engine, const GroupModel& model)
@@ -28,16 +28,16 @@
   return std::chrono::duration_cast<Duration>(step * model.pace);
 }
 
-std::uint32_t WantedGroups(double groupsOfWork)
+std::uint32_t WantedGroups(double offeredLoad)
 {
   // A whole group for a sliver of work would take the spares that the next loss needs.
-  const auto rounded = static_cast<std::uint32_t>(std::lround(GroupsForService(groupsOfWork)));
-  return groupsOfWork > 0 ? std::max(rounded, 1U) : 0;
+  const auto rounded = static_cast<std::uint32_t>(std::lround(GroupsForService(offeredLoad)));
+  return offeredLoad > 0 ? std::max(rounded, 1U) : 0;
 }
 
-double ServedPart(double groups, double groupsOfWork)
+double ServedPart(double groups, double offeredLoad)
 {
-  return groupsOfWork <= 0 ? 1 : std::min(1.0, groups / GroupsForService(groupsOfWork));
+  return offeredLoad <= 0 ? 1 : std::min(1.0, groups / GroupsForService(offeredLoad));
 }
 
 } // namespace gooseberrysail
--- a/src/placement/pool_plan.cpp
+++ b/src/placement/pool_plan.cpp
@@ -144,15 +144,15 @@
     }
   }
 
-  PlannedLack& LackOf(const ModelNeed& need)
+  PlannedShortage& LackOf(const ModelNeed& need)
   {
-    const auto found = std::ranges::find(m_plan.lacks, NameOf(need), &PlannedLack::model);
-    if (found != m_plan.lacks.end()) {
+    const auto found = std::ranges::find(m_plan.shortages, NameOf(need), &PlannedShortage::model);
+    if (found != m_plan.shortages.end()) {
       return *found;
     }
-    m_plan.lacks.emplace_back();
-    m_plan.lacks.back().model = NameOf(need);
-    return m_plan.lacks.back();
+    m_plan.shortages.emplace_back();
+    m_plan.shortages.back().model = NameOf(need);
+    return m_plan.shortages.back();
   }
 
   static bool LacksAny(std::span<const ModelNeed> needs)
@@ -201,7 +201,7 @@
   /// Groups of a model for each that its requests need.
   static double Fulfilment(const ModelNeed& need)
   {
-    return need.work <= 0 ? kFulfilled : need.groups / GroupsForService(need.work);
+    return need.offeredLoad <= 0 ? kFulfilled : need.groups / GroupsForService(need.offeredLoad);
   }
 
   /// Proportional fairness: the logarithm of the served part, by the model's work. Beyond what its
@@ -209,8 +209,8 @@
   /// less a model has, the more a further group is worth to it.
   static double Value(const ModelNeed& need, int change)
   {
-    const double served = ServedPart(static_cast<double>(need.groups) + change, need.work);
-    return need.work * std::log(std::max(served, kLeastServed));
+    const double served = ServedPart(static_cast<double>(need.groups) + change, need.offeredLoad);
+    return need.offeredLoad * std::log(std::max(served, kLeastServed));
   }
 
   /// \brief What all callers together gain, in groups, when `donor` gives up groups for `need`.
@@ -257,7 +257,7 @@
   /// members held the weights.
   [[nodiscard]] std::optional<Takeover> FindTakeover(const ModelNeed& need, Members which)
   {
-    PlannedLack& lack = LackOf(need);
+    PlannedShortage& lack = LackOf(need);
     if (!m_input.mayTakeOver) {
       lack.takeover = TakeoverVerdict::kLossesSettle;
       return std::nullopt;
@@ -341,7 +341,7 @@
       return std::nullopt;
     }
     const double gain = Gain(need, formed, donor, given);
-    PlannedLack& lack = LackOf(need);
+    PlannedShortage& lack = LackOf(need);
     lack.gain = lack.gain == 0 ? gain : std::max(lack.gain, gain);
     if (gain < kLeastGain) {
       return std::nullopt;
@@ -374,7 +374,7 @@
   void BeginLoads(ModelNeed& need, const Assembly& assembly, LoadPurpose purpose)
   {
     const std::string& model = need.model->name;
-    if (PlannedLack& lack = LackOf(need); lack.fabricDomain.IsNone()) {
+    if (PlannedShortage& lack = LackOf(need); lack.fabricDomain.IsNone()) {
       lack.fabricDomain = assembly.fabricDomain;
       lack.loadsToBegin = static_cast<std::uint32_t>(assembly.toBegin);
       lack.loadsUnderWay = static_cast<std::uint32_t>(assembly.underWay);
--- a/tests/fakes/placement_outages.cpp
+++ b/tests/fakes/placement_outages.cpp
@@ -29,9 +29,9 @@
     Singles(m_rates.replaced, 12 * kMinute, 0.6, 0);
     Singles(m_rates.restarted, 80, 0.5, 0.03);
     Singles(m_rates.pauses, 12, 0.8, 1);
-    ForEach(m_rates.switches, [this](double at) { Rack(at); });
-    ForEach(m_rates.blips, [this](double at) { Blip(at); });
-    ForEach(m_rates.domains, [this](double at) { FailureDomain(at); });
+    ForEach(m_rates.rackOutages, [this](double at) { Rack(at); });
+    ForEach(m_rates.fabricOutages, [this](double at) { Blip(at); });
+    ForEach(m_rates.failureDomainOutages, [this](double at) { FailureDomain(at); });
     ForEach(m_rates.flapping, [this](double at) { Flapping(at); });
     std::ranges::sort(m_outages, std::less{}, &ReplayOutage::from);
     return std::move(m_outages);
--- a/tests/fakes/placement_replay.cpp
+++ b/tests/fakes/placement_replay.cpp
@@ -427,13 +427,13 @@
     } else if (const auto* dissolve = std::get_if<DissolveGroupAction>(&action)) {
       const auto found = m_groups.find(dissolve->group.Get());
       if (found != m_groups.end() && !found->second.isEnding) {
-        ++m_result.given;
+        ++m_result.ended;
         End(found->second);
       }
     } else if (const auto* drain = std::get_if<DrainGroupAction>(&action)) {
       const auto found = m_groups.find(drain->group.Get());
       if (found != m_groups.end() && !found->second.isEnding) {
-        ++m_result.given;
+        ++m_result.ended;
         found->second.isEnding = true;
         found->second.endsAt = m_now + kDrainTime;
         Touch(found->second.id);
--- a/tests/fakes/placement_replay.hpp
+++ b/tests/fakes/placement_replay.hpp
@@ -34,15 +34,15 @@
 /// \brief Failures per day for the whole fleet.
 struct ReplayRates
 {
-  double deaths = 0;        ///< Gone for hours, back empty.
-  double replaced = 0;      ///< Back after minutes, empty.
-  double restarted = 0;     ///< Back after a minute or two, empty.
-  double pauses = 0;        ///< Back within a minute, with weights.
-  double switches = 0;      ///< A rack of VMs at once, for minutes to an hour.
-  double blips = 0;         ///< A fabric domain dark for a minute or so.
-  double domains = 0;       ///< A failure domain down for minutes to hours.
-  double flapping = 0;      ///< A VM begins to come and go for an hour.
-  double secondShare = 0.1; ///< Outages after which a neighbour fails within minutes.
+  double deaths = 0;               ///< Gone for hours, back empty.
+  double replaced = 0;             ///< Back after minutes, empty.
+  double restarted = 0;            ///< Back after a minute or two, empty.
+  double pauses = 0;               ///< Back within a minute, with weights.
+  double rackOutages = 0;          ///< A rack of VMs at once, for minutes to an hour.
+  double fabricOutages = 0;        ///< A fabric domain dark for a minute or so.
+  double failureDomainOutages = 0; ///< A failure domain down for minutes to hours.
+  double flapping = 0;             ///< A VM begins to come and go for an hour.
+  double secondShare = 0.1;        ///< Outages after which a neighbour fails within minutes.
 };
 
 /// \brief One VM out of reach for a while.
@@ -65,7 +65,7 @@
   double downSeconds = 0;     ///< Wanted groups that didn't serve, times seconds.
   double strandedSeconds = 0; ///< Healthy accelerators that served nothing, times seconds.
   std::uint64_t formed = 0;
-  std::uint64_t given = 0; ///< Groups dissolved or drained.
+  std::uint64_t ended = 0; ///< Groups dissolved or drained.
   std::vector<double> planMicros;
 
   [[nodiscard]] double Cost(const PolicySpec& policy) const
--- a/tests/unit/pool_plan_test.cpp
+++ b/tests/unit/pool_plan_test.cpp
@@ -489,7 +489,7 @@
   engine.stepTimePerRequest = 95us;
   engine.promptTokensPerSecond = 45'900;
   const ModelDemand demand{ 106, 106 * 714.0, 106 * 146.0 };
-  const double work = GroupsOfWork(engine, kSmall, demand);
+  const double work = OfferedLoad(engine, kSmall, demand);
   // Reading 0.6 * 1.65 s, writing 0.6 * 15476 * (0.229 + 0.095) ms, a second.
   EXPECT_NEAR(work, 4.0, 0.1);
   EXPECT_EQ(WantedGroups(3.3), 5U);
