--- a/src/placement/outlook.cpp
+++ b/src/placement/group_forecast.cpp
@@ -1,4 +1,4 @@
-#include "placement/outlook.hpp"
+#include "placement/group_forecast.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/placement/pool_places.cpp
+++ b/src/placement/pool_candidates.cpp
@@ -1,4 +1,4 @@
-#include "placement/pool_places.hpp"
+#include "placement/pool_candidates.hpp"
 
 #include <algorithm>
 #include <functional>
--- a/src/placement/pool_plan.cpp
+++ b/src/placement/pool_plan.cpp
@@ -1,7 +1,7 @@
 #include "gooseberrysail/placement/pool_plan.hpp"
 
 #include "gooseberrysail/placement/model_work.hpp"
-#include "placement/pool_places.hpp"
+#include "placement/pool_candidates.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/placement/repair_cost.hpp
+++ b/src/placement/repair_cost.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "placement/outlook.hpp"
+#include "placement/group_forecast.hpp"
 #include "placement/repair.hpp"
 
 #include <span>
--- a/tests/unit/placement_estimates_test.cpp
+++ b/tests/unit/placement_estimates_test.cpp
@@ -1,4 +1,4 @@
-#include "placement/outlook.hpp"
+#include "placement/group_forecast.hpp"
 #include "support/placement_tables.hpp"
 #include "support/section.hpp"
 
