--- a/include/gooseberrysail/placement/model_work.hpp
+++ b/include/gooseberrysail/placement/model_work.hpp
@@ -6,7 +6,7 @@
 
 namespace gooseberrysail {
 
-/// \brief What callers ask of one model, a second.
+/// \brief Requests and tokens per second that callers ask of one model.
 struct ModelDemand
 {
   double requests = 0;
@@ -14,30 +14,33 @@
   double outputTokens = 0;
 };
 
-/// \brief The part of one group's time that this demand takes when the group's slots are full; 2.5
-/// means that two and a half groups do nothing else.
-/// \remarks Prompts are read alone; an output token's step is shared by all requests that run.
+/// \brief Offered load of this demand, in groups whose slots are full: 2.5 keeps two and a half
+/// groups fully busy.
+/// \remarks Prompts are processed one at a time; all running requests share the step that generates
+/// an output token.
 [[nodiscard]] double OfferedLoad(const EngineSpec& engine,
                                  const GroupModel& model,
                                  const ModelDemand& demand);
 
-/// \brief Groups that serve nearly all of this work in time, by square-root staffing: the work, and
-/// kStaffing times its root for the scatter of arrivals, which weighs more on a model of few
-/// groups.
-[[nodiscard]] double GroupsForService(double offeredLoad);
+/// \brief Number of groups that serve nearly all of this load in time, by square-root staffing: the
+/// load plus kStaffingFactor times its square root. The second term covers the variance of
+/// arrivals, which is relatively larger for a model with few groups.
+[[nodiscard]] double RequiredGroups(double offeredLoad);
 
-/// \brief The pause between two events of a group whose slots are full and that reads no prompt.
+/// \brief Time between two events of a group whose slots are full and that processes no prompt.
 [[nodiscard]] Duration FullStep(const EngineSpec& engine, const GroupModel& model);
 
-/// \brief GroupsForService as a whole number.
+/// \brief RequiredGroups as a whole number: at least 1 for any load above zero.
 [[nodiscard]] std::uint32_t WantedGroups(double offeredLoad);
 
-/// \brief The part of the requests that `groups` serve in time, 0 to 1.
-[[nodiscard]] double ServedPart(double groups, double offeredLoad);
+/// \brief Estimated fraction of the requests that `groups` serve in time, 0 to 1.
+[[nodiscard]] double ServedFraction(double groups, double offeredLoad);
 
-/// \brief Played days with two models: 2 groups for 1.75 of work had 0.68 to 0.7 of the answers in
-/// time, 4 for 3.7 had 0.75, 5 for 3.7 had 0.94. The root's factor that fits them is 0.84, 0.85 and
-/// 0.83; a little less keeps the spares that the next loss needs.
-inline constexpr double kStaffing = 0.8;
+/// \brief Factor of the square root in RequiredGroups.
+/// \remarks In simulated days with two models, 2 groups for a load of 1.75 gave 0.68 to 0.7 of the
+/// answers in time, 4 groups for 3.7 gave 0.75, and 5 groups for 3.7 gave 0.94. The factors that
+/// fit these results are 0.84, 0.85 and 0.83. The value is slightly lower, to leave spares for the
+/// next loss.
+inline constexpr double kStaffingFactor = 0.8;
 
 } // namespace gooseberrysail
--- a/include/gooseberrysail/placement/planner.hpp
+++ b/include/gooseberrysail/placement/planner.hpp
@@ -15,22 +15,22 @@
 
 namespace gooseberrysail {
 
-/// \brief A target VM as the control leader sees it now.
+/// \brief The control leader's current state of a target VM.
 struct VmView
 {
   VmId vm;
   FailureDomainId failureDomain;
   FabricDomainId fabricDomain;
   std::uint32_t accelerators = 0;
-  GroupId group;         ///< None when free: released, or its lease certainly ended.
-  bool reachable = true; ///< Heard of lately, directly or through its head.
+  GroupId group;         ///< None when free: released, or its lease has certainly expired.
+  bool reachable = true; ///< Contacted recently, directly or through its head.
   TimePoint lastHeard{};
-  bool draining = false;   ///< By the catalogue, or its agent was told to stop.
-  std::string loadedModel; ///< "entry@version" whose weights it holds; "" when none.
-  bool straggler = false;  ///< Works far slower than its peers, by reports or heartbeats.
+  bool draining = false;   ///< Marked so in the catalogue, or its agent was ordered to stop.
+  std::string loadedModel; ///< "entry@version" of the weights it holds; "" when none.
+  bool straggler = false;  ///< Far slower than its peers, by load reports or heartbeats.
 };
 
-/// \brief A group as the control leader sees it now.
+/// \brief The control leader's current state of a group.
 struct GroupView
 {
   GroupId group;
@@ -58,7 +58,7 @@
   const PolicySpec* policy = nullptr;
 };
 
-/// \brief Form a group of free VMs of one fabric domain; the first is its head.
+/// \brief Forms a group from free VMs of one fabric domain; the first member is its head.
 struct FormGroupAction
 {
   EntryName entry;
@@ -66,22 +66,22 @@
   std::vector<VmId> members;
 };
 
-/// \brief Give up a group; its members are freed once that is certain.
+/// \brief Dissolves a group; its members are freed once they have certainly left it.
 struct DissolveGroupAction
 {
   GroupId group;
   std::string reason;
 };
 
-/// \brief Let a group finish what it has, then dissolve it.
+/// \brief Lets a group finish its running requests, then dissolves it.
 struct DrainGroupAction
 {
   GroupId group;
   std::string reason;
 };
 
-/// \brief A spare that should load weights ahead of need; it stays free.
-struct PreloadWish
+/// \brief Asks that a spare VM load weights in advance; the VM stays free.
+struct PreloadRequest
 {
   VmId vm;
   EntryName entry;
@@ -94,26 +94,30 @@
 struct RepairInput;
 } // namespace impl
 
-/// \brief Chooses broken groups to give up, by their row in the input's fleet.
+/// \brief Chooses broken groups to dissolve, by their row in the input's fleet.
 using RepairPolicy = std::function<std::vector<std::uint32_t>(const impl::RepairInput&)>;
 
-/// \brief Weighs waiting, spares and merging by expected downtime and stranded accelerators.
+/// \brief Decides which groups to form, drain and dissolve.
+/// \remarks For a broken group it compares the expected cost, in downtime and stranded
+/// accelerators, of waiting for its members, of using spares and of merging it with other broken
+/// groups.
 class PlacementPlanner
 {
 public:
-  /// \brief Repairs by expected cost.
+  /// \brief Chooses repairs by expected cost.
   PlacementPlanner();
-  /// \brief Repairs by another policy, such as a baseline that a bench compares with.
+  /// \brief Chooses repairs by another policy, such as a baseline in a benchmark.
   explicit PlacementPlanner(RepairPolicy policy);
   ~PlacementPlanner();
   PlacementPlanner(PlacementPlanner&&) noexcept;
 
-  /// \brief Decides on the next steps; called by the control leader about once a second.
+  /// \brief Returns the next actions; the control leader calls it about once a second.
   [[nodiscard]] std::vector<PlannerAction> Plan(TimePoint now, const PlannerInput& input);
 
-  /// \brief Spares that should load weights now, after the latest Plan.
-  /// \remarks A caller that can't order a free VM to load may ignore them: the planner notices.
-  [[nodiscard]] std::span<const PreloadWish> Preloads() const noexcept;
+  /// \brief Spares that should load weights now, as of the latest call of Plan.
+  /// \remarks A caller that can't order a free VM to load may ignore them: the planner detects from
+  /// its input whether they are carried out.
+  [[nodiscard]] std::span<const PreloadRequest> Preloads() const noexcept;
 
 private:
   struct Impl;
--- a/include/gooseberrysail/placement/pool_plan.hpp
+++ b/include/gooseberrysail/placement/pool_plan.hpp
@@ -12,7 +12,7 @@
 
 namespace gooseberrysail {
 
-/// \brief Stands for the model that a host loads where nobody knows which one.
+/// \brief Placeholder for the model that a host loads when it is not known.
 inline const std::string kUnknownWeights = "?";
 
 /// \brief A target that is in no group and may join one.
@@ -20,15 +20,15 @@
 {
   InstanceId instance;
   FabricDomainId fabricDomain;
-  std::vector<std::string> stagedModels; ///< Joining a group of one of these needs no load.
-  std::string staging;                   ///< The model that its host loads now; "" for none.
-  std::string lastModel; ///< Of its last group: joining one of this model again is quickest.
+  std::vector<std::string> stagedModels; ///< It joins a group of one of these without a load.
+  std::string staging;                   ///< The model that its host is loading; "" for none.
+  std::string lastModel; ///< Model of its last group; joining one of this model is quickest.
 };
 
-/// \brief Whether the target joins a group of the model without a load.
+/// \brief Whether the target can join a group of the model without a load.
 [[nodiscard]] bool HoldsModel(const FreeTarget& target, const std::string& model);
 
-/// \brief A group that serves; its members may load other weights meanwhile.
+/// \brief A serving group; the hosts of its members may load other weights meanwhile.
 struct ServingGroup
 {
   std::string name;
@@ -37,13 +37,13 @@
   std::vector<FreeTarget> members;
 };
 
-/// \brief A model and how far its groups are from what is wanted.
+/// \brief A model with its present and its wanted number of groups.
 struct ModelNeed
 {
   const GroupModel* model = nullptr;
-  std::uint32_t groups = 0; ///< Serving and forming ones.
-  std::uint32_t wanted = 0; ///< Of free targets.
-  double offeredLoad = 0;   ///< Groups that the present requests keep fully busy; 0 when not known.
+  std::uint32_t groups = 0; ///< Serving and forming groups.
+  std::uint32_t wanted = 0; ///< Groups to reach by forming some from free targets.
+  double offeredLoad = 0;   ///< Offered load of the present requests, in groups; 0 when not known.
 };
 
 struct PoolInput
@@ -51,20 +51,20 @@
   std::span<const FreeTarget> free;
   std::span<const ModelNeed> needs;
   std::span<const ServingGroup> serving;
-  std::uint32_t loadsLeft = 0;  ///< Loads from the weight store that may begin now.
-  std::uint32_t spareLoads = 0; ///< Of these, for weights that no group waits for.
-  /// \brief Loads are quick and free, as before the first request: groups may be formed of targets
-  /// that have to load.
+  std::uint32_t loadsLeft = 0;  ///< Loads from the weight store that may start now.
+  std::uint32_t spareLoads = 0; ///< No load for a spare once the plan has this many loads.
+  /// \brief Loads are fast and delay no requests, as before the first one: groups may be formed of
+  /// targets that have to load.
   bool loadsAreCheap = false;
-  /// \brief Serving groups may be given up for another model's. Not while losses are coming in:
-  /// when a domain goes dark the first loss makes one model look short, and a moment later the
-  /// other is.
+  /// \brief Serving groups may be closed to form groups of another model. False while losses are
+  /// still being detected: when a whole domain fails, the first losses may make one model look
+  /// short of groups, and a moment later it is the other one.
   bool mayTakeOver = true;
-  /// \brief Loads that may begin before the store slows all of them down.
+  /// \brief Loads that may start before the weight store slows down all of them.
   std::uint32_t loadsAtFullSpeed = std::numeric_limits<std::uint32_t>::max();
-  /// \brief Of the spare loads, those for second weights.
+  /// \brief No load for second weights once the plan has this many loads.
   std::uint32_t secondLoads = std::numeric_limits<std::uint32_t>::max();
-  /// \brief Sound members of groups that end; they are free in a moment.
+  /// \brief Healthy members of groups that are ending; they will be free shortly.
   std::span<const FreeTarget> returning{};
 };
 
@@ -76,25 +76,25 @@
   std::uint32_t loads = 0; ///< Members that must load weights from the store.
 };
 
-/// \brief A group of free targets and members of groups that end for it.
+/// \brief A group formed of free targets and of members of groups that are closed for it.
 struct PlannedTakeover
 {
   PlannedGroup group;
-  std::vector<std::string> releases; ///< Serving groups to close, of a model that lacks less.
+  std::vector<std::string> releases; ///< Serving groups to close, of a model with less need.
 };
 
-/// \brief What a load is for.
+/// \brief Purpose of a load.
 enum class LoadPurpose
 {
   kGroup,         ///< Completes a group of idle targets.
-  kTakeover,      ///< Completes a group that takes members of another model's.
-  kSpare,         ///< An idle target without weights.
-  kSecondWeights, ///< A host whose target serves, or last served, another model.
+  kTakeover,      ///< Completes a group that takes members from another model's group.
+  kSpare,         ///< For an idle target without weights.
+  kSecondWeights, ///< For a host whose target serves, or last served, another model.
 };
 
 [[nodiscard]] const char* ToString(LoadPurpose purpose) noexcept;
 
-/// \brief Weights that a target's host should load ahead of need.
+/// \brief Weights that a target's host should load in advance.
 struct PlannedStage
 {
   InstanceId target;
@@ -102,33 +102,33 @@
   LoadPurpose purpose = LoadPurpose::kGroup;
 };
 
-/// \brief Free targets that take weights from their host, in a group of their own.
+/// \brief A free target that takes weights from its host, in a group of its own.
 struct PlannedStandby
 {
   InstanceId target;
   std::string model;
 };
 
-/// \brief Why no serving group is given up for a model that lacks groups.
+/// \brief Whether a takeover was planned for a model that is short of groups, or why not.
 enum class TakeoverVerdict
 {
   kNotNeeded,
-  kLossesSettle,  ///< Not while losses come in, nor before demand is known.
-  kNoCandidate,   ///< No domain has the targets.
-  kTooLittleGain, ///< The callers of all models together would gain too little.
-  kWaitsForLoads, ///< Its members load the weights first.
+  kLossesSettle,  ///< Losses are still being detected, or demand is not known.
+  kNoCandidate,   ///< No domain has enough suitable targets.
+  kTooLittleGain, ///< The total gain over all models is too small.
+  kWaitsForLoads, ///< The members of the new group load its weights first.
   kTaken,
 };
 
 [[nodiscard]] const char* ToString(TakeoverVerdict verdict) noexcept;
 
-/// \brief What a model that lacks groups waits for.
+/// \brief What a model that is short of groups waits for.
 struct PlannedShortage
 {
   std::string model;
   TakeoverVerdict takeover = TakeoverVerdict::kNotNeeded;
-  double gain = 0;             ///< Of the best takeover, in groups.
-  FabricDomainId fabricDomain; ///< Where its next group comes together; none where nowhere.
+  double gain = 0;             ///< Gain of the best takeover, in groups.
+  FabricDomainId fabricDomain; ///< Domain of its next group; none when no domain has the targets.
   std::uint32_t loadsToBegin = 0;
   std::uint32_t loadsUnderWay = 0;
 };
@@ -138,19 +138,21 @@
   std::vector<PlannedGroup> groups;
   std::vector<PlannedStage> stages;
   /// \brief Free targets that should take their host's weights now, in a group of their own that
-  /// never opens: from then on each joins a group of that model as quickly as a former member.
+  /// never serves. Each then joins a group of that model as quickly as a former member of one.
   std::vector<PlannedStandby> standbys;
   std::vector<PlannedTakeover> takeovers;
   std::vector<PlannedShortage> shortages;
 };
 
-/// \brief Which groups to form of free targets, and which weights the others should hold.
-/// \remarks A member that loads keeps the others of its group idle for ten times as long as a warm
-/// join takes. So under load groups are formed of warm targets only, and cold ones load on their
-/// own first. What is left over waits with weights of either model: such a spare repairs a broken
-/// group within a second or two. Where what is left of every domain is too small for a group of a
-/// model that lacks most, a group of a model that lacks least gives up its targets; they load the
-/// other weights while they still serve. A group never spans fabric domains.
+/// \brief Plans which groups to form of free targets, and which weights the other targets' hosts
+/// should load.
+/// \remarks A member that has to load keeps its whole group idle for ten times as long as a join of
+/// warm targets takes. Under traffic, groups are therefore formed of warm targets only, and cold
+/// targets load on their own first. The remaining targets hold the weights of one of the models as
+/// spares: such a spare repairs a broken group within one or two seconds. When no domain has enough
+/// free targets for a group of the model with the greatest need, a group of another model may be
+/// closed for it; its members load the new weights while they still serve. A group never spans
+/// fabric domains.
 [[nodiscard]] PoolPlan PlanPool(const PoolInput& input);
 
 } // namespace gooseberrysail
--- a/src/placement/fleet.cpp
+++ b/src/placement/fleet.cpp
@@ -9,7 +9,7 @@
 using RowByName = std::unordered_map<std::string_view, Row>;
 
 void AddVms(const PlannerInput& input,
-            const Promises& promises,
+            const PendingActions& pendingActions,
             const History& history,
             Fleet& fleet)
 {
@@ -21,11 +21,12 @@
     FleetVm vm;
     vm.view = &view;
     vm.fabric = past.fabric;
-    vm.doubtful = view.straggler || fleet.now < past.doubtfulUntil;
+    vm.suspect = view.straggler || fleet.now < past.suspectUntil;
     vm.available = view.group.IsNone() && view.reachable && !view.draining;
     if (vm.available) {
-      // A name listed twice would let one VM into two groups: only one of its rows is ever used.
-      vm.available = history.Find(view.vm) == row && !promises.vms.contains(view.vm.Get()) &&
+      // If a name is listed twice, only one of its rows is used; otherwise one VM could be placed
+      // in two groups.
+      vm.available = history.Find(view.vm) == row && !pendingActions.vms.contains(view.vm.Get()) &&
                      !history.IsQuarantined(row, fleet.now);
     }
     FleetFabric& fabric = fleet.fabrics[vm.fabric];
@@ -63,8 +64,8 @@
   group.unknown = rows.unknown;
   for (const Row row : rows.known) {
     FleetVm& vm = fleet.vms[row];
-    // A group that ends lets its members go one by one; until it ends they are its own, even
-    // where the tables disagree for a moment.
+    // A group that is ending releases its members one by one. Members of other groups are never
+    // available, even while the group table and the VM table disagree for a moment.
     if (!group.ending || vm.view->group == group.view->group) {
       vm.available = false;
       vm.group = groupRow;
@@ -110,7 +111,7 @@
 }
 
 void AddGroups(const PlannerInput& input,
-               const Promises& promises,
+               const PendingActions& pendingActions,
                const History& history,
                MemberRows& memberRows,
                const RowByName& modelRows,
@@ -121,11 +122,11 @@
     const auto row = static_cast<Row>(fleet.groups.size());
     FleetGroup group;
     group.view = &view;
-    const auto promise = promises.endings.find(view.group.Get());
-    const bool isPromised = promise != promises.endings.end();
-    group.ending = view.draining || isPromised;
+    const auto pendingEnd = pendingActions.endings.find(view.group.Get());
+    const bool isPending = pendingEnd != pendingActions.endings.end();
+    group.ending = view.draining || isPending;
     AddMembers(memberRows.Of(view, history), row, group, fleet);
-    group.releasing = isPromised && promise->second.isDissolved && HoldsSurvivor(fleet, group);
+    group.releasing = isPending && pendingEnd->second.isDissolved && HoldsSurvivor(fleet, group);
     group.broken = view.brokenSince.has_value() || !group.missing.empty() || group.unknown > 0;
     if (group.broken) {
       group.brokenSince = BrokenSince(group, fleet);
@@ -146,7 +147,7 @@
 
 } // namespace
 
-void Promises::DropOverdue(TimePoint now)
+void PendingActions::RemoveExpired(TimePoint now)
 {
   std::erase_if(vms, [now](const auto& entry) { return entry.second <= now; });
   std::erase_if(endings, [now](const auto& entry) { return entry.second.until <= now; });
@@ -184,17 +185,17 @@
 
 Fleet BuildFleet(TimePoint now,
                  const PlannerInput& input,
-                 const Promises& promises,
+                 const PendingActions& pendingActions,
                  const History& history,
                  MemberRows& memberRows)
 {
   Fleet fleet;
   fleet.now = now;
   fleet.policy = input.policy;
-  AddVms(input, promises, history, fleet);
+  AddVms(input, pendingActions, history, fleet);
   const RowByName modelRows = AddModels(input, fleet);
   memberRows.DropUnused();
-  AddGroups(input, promises, history, memberRows, modelRows, fleet);
+  AddGroups(input, pendingActions, history, memberRows, modelRows, fleet);
   for (Row row = 0; row < fleet.vms.size(); ++row) {
     const FleetVm& vm = fleet.vms[row];
     FleetFabric& fabric = fleet.fabrics[vm.fabric];
--- a/src/placement/formation.cpp
+++ b/src/placement/formation.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-/// \brief How far a VM is from serving `model`: smaller is better.
+/// \brief Ranks a VM by the weights it holds, for a group of `model`: smaller is better.
 int Distance(const Fleet& fleet, Row vm, Row model)
 {
   if (fleet.HoldsWeights(vm, model)) {
     return 0;
   }
-  // A VM that holds another model's weights is worth more to that model.
+  // A VM that holds another model's weights should be left for that model.
   return fleet.vms[vm].view->loadedModel.empty() ? 1 : 2;
 }
 
@@ -29,9 +29,9 @@
   std::size_t available = 0;
 };
 
-/// Without a load a group serves at once, which is worth more than balance, and each member less
-/// to load spares the weight store; among equals, an even spread keeps a dark failure domain from
-/// taking more than its share of the replicas.
+/// Fewest members that must load first: without a load a group serves at once, which is worth more
+/// than an even distribution, and each load avoided relieves the weight store. Then the failure
+/// domain with the fewest replicas, so that the loss of one takes no more than its share of them.
 bool IsBetter(const Proposal& left, const Proposal& right)
 {
   return std::tuple(left.coldMembers, left.replicasInFailureDomain, right.available, left.fabric) <
@@ -96,7 +96,7 @@
 std::uint32_t CountReplicas(const Fleet& fleet, const FleetModel& model)
 {
   return static_cast<std::uint32_t>(std::ranges::count_if(model.groups, [&](Row row) {
-    // One given up a moment ago still counts: what replaces it is to use its survivors.
+    // A group dissolved a moment ago still counts: its replacement is to use its survivors.
     return !fleet.groups[row].ending || fleet.groups[row].releasing;
   }));
 }
@@ -109,7 +109,7 @@
                                std::size_t count)
 {
   const auto rank = [&](Row vm) {
-    return std::tuple(fleet.vms[vm].doubtful,
+    return std::tuple(fleet.vms[vm].suspect,
                       Distance(fleet, vm, model),
                       std::string_view(fleet.vms[vm].view->vm.Get()));
   };
--- a/src/placement/group_forecast.cpp
+++ b/src/placement/group_forecast.cpp
@@ -7,17 +7,18 @@
 
 namespace {
 
-/// How far ahead a flapping member's next outages are held against its group.
+/// Period over which the expected outages of a flapping member are counted.
 constexpr double kFlapHorizonSeconds = 1800;
-/// Downtime of one more outage of a flapping member.
+/// Assumed downtime of each further outage of a flapping member.
 constexpr double kFlapDownSeconds = 30;
-/// A fabric domain that went dark is given this many times an operator's patience with one VM:
-/// giving up all its groups means a load for each of them, should it come back a moment later.
-constexpr double kDarkPatience = 6;
-/// Chance that a spare with weights is used before it loses them; chosen on the training seeds.
-constexpr double kNextWarmWorth = 0.8;
-/// Beyond so many VMs the binomial sum gives way to the normal curve.
-constexpr std::size_t kMostExact = 12;
+/// After the loss of several VMs at once, groups wait this many times the patience configured for
+/// one VM: dissolving all of them would cost a load for each, even if the VMs return a moment
+/// later.
+constexpr double kDomainPatienceFactor = 6;
+/// Assumed probability that a spare with weights is used before it loses them.
+constexpr double kWarmUseChance = 0.8;
+/// Above this number of VMs the normal approximation replaces the exact binomial sum.
+constexpr std::size_t kMaxExactCount = 12;
 
 double SurvivorAccelerators(const Fleet& fleet, const FleetGroup& group)
 {
@@ -31,8 +32,8 @@
 
 struct Loss
 {
-  std::vector<Row> alone; ///< Missing members that were lost each by itself.
-  Row together = kNoRow;  ///< Stands for all that were lost by one cause: they return as one.
+  std::vector<Row> alone; ///< Missing members lost independently, and `together` if there is one.
+  Row together = kNoRow;  ///< Represents all members lost by one cause: they return together.
 };
 
 Loss SplitLoss(const History& history, const FleetGroup& group)
@@ -52,17 +53,17 @@
   return loss;
 }
 
-double Down(const Fleet& fleet,
-            const History& history,
-            const FleetGroup& group,
-            const std::vector<Row>& causes,
-            double wait)
+double DownProbability(const Fleet& fleet,
+                       const History& history,
+                       const FleetGroup& group,
+                       const std::vector<Row>& causes,
+                       double wait)
 {
   if (group.unknown > 0) {
     return 1;
   }
   if (causes.empty()) {
-    // All members are in reach of control, but not of each other.
+    // Control reaches all members, but they don't reach each other.
     const double age = ToSeconds(fleet.now - group.brokenSince);
     return history.Times(OutageSpan::kAlone).StillAway(age, wait);
   }
@@ -87,8 +88,9 @@
   return keeps * loads.ResumeSeconds() + (1 - keeps) * load;
 }
 
-/// Sums backwards over the steps: what a step says holds only if the member isn't back by then.
-void AddWarmReturns(const Fleet& fleet, const History& history, Row vm, Outlook& outlook)
+/// Sums backwards over the steps: the value at a step is conditional on the member still being away
+/// then.
+void AddWarmReturns(const Fleet& fleet, const History& history, Row vm, GroupForecast& forecast)
 {
   const double age = ToSeconds(fleet.now - history.At(vm).awaySince);
   const auto still = [&](std::size_t step) {
@@ -98,7 +100,7 @@
   for (std::size_t step = kSteps; step-- > 0;) {
     const double before = still(step);
     warm += (before - still(step + 1)) * history.KeepsWeights(vm, age + StepTimes()[step]);
-    outlook.warmReturns[step] += before > 0 ? warm / before : 0;
+    forecast.warmReturns[step] += before > 0 ? warm / before : 0;
   }
 }
 
@@ -111,7 +113,8 @@
   return rate * kFlapHorizonSeconds * kFlapDownSeconds;
 }
 
-/// Chance that fewer than `needed` of `count` happened, each with chance `each`.
+/// Probability that fewer than `needed` of `count` independent events occur, each with probability
+/// `each`.
 double ChanceOfFewer(std::size_t count, std::size_t needed, double each)
 {
   const auto n = static_cast<double>(count);
@@ -121,7 +124,7 @@
   if (each >= 1) {
     return needed > count ? 1 : 0;
   }
-  if (count > kMostExact) {
+  if (count > kMaxExactCount) {
     const double deviation = std::sqrt(n * each * (1 - each));
     const double distance = (static_cast<double>(needed) - 0.5 - n * each) / deviation;
     return 0.5 * std::erfc(-distance / std::sqrt(2.0));
@@ -136,100 +139,103 @@
   return std::min(1.0, sum);
 }
 
-/// Expected outages beyond `spares`, of a Poisson number with this mean.
-double ExpectedBeyond(std::size_t spares, double mean)
+/// Expected excess of a Poisson number of outages with this mean over `spares`.
+double ExpectedExcess(std::size_t spares, double mean)
 {
-  double beyond = mean;
+  double excess = mean;
   double chance = std::exp(-mean);
   double atMost = 0;
   for (std::size_t index = 0; index < spares; ++index) {
     atMost += chance;
-    beyond -= 1 - atMost;
+    excess -= 1 - atMost;
     chance *= mean / static_cast<double>(index + 1);
   }
-  return std::max(0.0, beyond);
+  return std::max(0.0, excess);
 }
 
-/// Chance that it is still down at some time, by the nearest step.
-double DownAt(const Outlook& outlook, double time)
+/// Probability that the group is still down at `time`, taken from the first step not before it.
+double DownProbabilityAt(const GroupForecast& forecast, double time)
 {
   const auto& times = StepTimes();
   const auto step = static_cast<std::size_t>(std::ranges::lower_bound(times, time) - times.begin());
-  return outlook.down[std::min(step, kSteps - 1)];
+  return forecast.down[std::min(step, kSteps - 1)];
 }
 
 } // namespace
 
-Outlook ForeseeGroup(const Fleet& fleet, const History& history, const WeightLoads& loads, Row row)
+GroupForecast ForecastGroup(const Fleet& fleet,
+                            const History& history,
+                            const WeightLoads& loads,
+                            Row row)
 {
   const FleetGroup& group = fleet.groups[row];
   const Loss loss = SplitLoss(history, group);
-  Outlook outlook;
-  outlook.group = row;
+  GroupForecast forecast;
+  forecast.group = row;
   for (std::size_t step = 0; step < kSteps; ++step) {
-    outlook.down[step] = Down(fleet, history, group, loss.alone, StepTimes()[step]);
+    forecast.down[step] = DownProbability(fleet, history, group, loss.alone, StepTimes()[step]);
   }
   for (const Row vm : group.missing) {
-    AddWarmReturns(fleet, history, vm, outlook);
+    AddWarmReturns(fleet, history, vm, forecast);
   }
-  outlook.reloadSeconds = ReloadSeconds(fleet, history, loads, group, loss.alone);
-  outlook.flapSeconds = FlapSeconds(fleet, history, group);
-  outlook.rate = fleet.policy->downtimeWeight +
-                 fleet.policy->strandedWeight * SurvivorAccelerators(fleet, group);
+  forecast.reloadSeconds = ReloadSeconds(fleet, history, loads, group, loss.alone);
+  forecast.flapSeconds = FlapSeconds(fleet, history, group);
+  forecast.costPerSecond = fleet.policy->downtimeWeight +
+                           fleet.policy->strandedWeight * SurvivorAccelerators(fleet, group);
   const double patience =
-    ToSeconds(fleet.policy->repairPatience) * (loss.together == kNoRow ? 1 : kDarkPatience);
-  outlook.patienceLeft = patience - ToSeconds(fleet.now - group.brokenSince);
-  // When all members are in reach, one of them must be the cause all the same.
-  outlook.lost = std::max(1U, static_cast<std::uint32_t>(group.missing.size()) + group.unknown);
-  outlook.survivors = static_cast<std::uint32_t>(group.view->members.size()) - outlook.lost;
-  return outlook;
+    ToSeconds(fleet.policy->repairPatience) * (loss.together == kNoRow ? 1 : kDomainPatienceFactor);
+  forecast.patienceLeft = patience - ToSeconds(fleet.now - group.brokenSince);
+  // Even when all members are reachable, one of them must be the cause.
+  forecast.lost = std::max(1U, static_cast<std::uint32_t>(group.missing.size()) + group.unknown);
+  forecast.survivors = static_cast<std::uint32_t>(group.view->members.size()) - forecast.lost;
+  return forecast;
 }
 
-double CostOfWaiting(const Outlook& outlook)
+double CostOfWaiting(const GroupForecast& forecast)
 {
   constexpr double kNever = std::numeric_limits<double>::infinity();
-  return CostOfWaiting(outlook, kNever, 0, kNever);
+  return CostOfWaiting(forecast, kNever, 0, kNever);
 }
 
-/// Sums over the future step by step; at each step the other way may be taken.
-double CostOfWaiting(const Outlook& outlook, double fallback, double price, double first)
+/// Integrates the expected cost over the steps; at each step the fallback may be taken instead.
+double CostOfWaiting(const GroupForecast& forecast, double fallback, double price, double first)
 {
-  const double afterReturn = outlook.reloadSeconds + outlook.flapSeconds;
+  const double afterReturn = forecast.reloadSeconds + forecast.flapSeconds;
   double best = std::numeric_limits<double>::infinity();
   double down = 0;
   double timeBefore = 0;
   double downBefore = 1;
   for (std::size_t step = 0; step < kSteps; ++step) {
     const double time = StepTimes()[step];
-    const double still = outlook.down[step];
+    const double still = forecast.down[step];
     down += (time - timeBefore) * (downBefore + still) / 2;
     timeBefore = time;
     downBefore = still;
-    if (time >= first && time <= std::max(outlook.patienceLeft, 0.0)) {
-      const double own = outlook.rate * (down + (1 - still) * afterReturn);
-      const double other = fallback - outlook.warmWorth * outlook.warmReturns[step + 1];
+    if (time >= first && time <= std::max(forecast.patienceLeft, 0.0)) {
+      const double own = forecast.costPerSecond * (down + (1 - still) * afterReturn);
+      const double other = fallback - forecast.warmSpareValue * forecast.warmReturns[step + 1];
       best = std::min(best, own + still * other + price);
     }
   }
-  return std::min(best, outlook.rate * (down + (1 - downBefore) * afterReturn));
+  return std::min(best, forecast.costPerSecond * (down + (1 - downBefore) * afterReturn));
 }
 
-double WorthOfWarm(std::size_t warm, double loadCost)
+double WarmSpareValue(std::size_t warm, double loadCost)
 {
-  return loadCost * kNextWarmWorth * (1 - std::pow(kNextWarmWorth, static_cast<double>(warm))) /
-         (1 - kNextWarmWorth);
+  return loadCost * kWarmUseChance * (1 - std::pow(kWarmUseChance, static_cast<double>(warm))) /
+         (1 - kWarmUseChance);
 }
 
-double ExpectedDown(const Outlook& outlook, double limit)
+double ExpectedDown(const GroupForecast& forecast, double limit)
 {
   double down = 0;
   double timeBefore = 0;
   double downBefore = 1;
   for (std::size_t step = 0; step < kSteps && timeBefore < limit; ++step) {
     const double time = std::min(StepTimes()[step], limit);
-    down += (time - timeBefore) * (downBefore + outlook.down[step]) / 2;
+    down += (time - timeBefore) * (downBefore + forecast.down[step]) / 2;
     timeBefore = time;
-    downBefore = outlook.down[step];
+    downBefore = forecast.down[step];
   }
   return down;
 }
@@ -264,7 +270,7 @@
   return sum;
 }
 
-double DownWithoutSpare(const Outlook& outlook, const ReturnTimes& times)
+double DownWithoutSpare(const GroupForecast& forecast, const ReturnTimes& times)
 {
   std::array<double, kSteps> fresh{};
   for (std::size_t step = 0; step < kSteps; ++step) {
@@ -278,7 +284,7 @@
     double before = 0;
     for (std::size_t inner = 0; inner < kSteps; ++inner) {
       const double time = StepTimes()[inner];
-      wait += (time - before) * fresh[inner] * DownAt(outlook, start + time);
+      wait += (time - before) * fresh[inner] * DownProbabilityAt(forecast, start + time);
       before = time;
     }
     sum += (start - startBefore) * wait;
@@ -287,10 +293,10 @@
   return sum;
 }
 
-double OutagesLeftOut(std::size_t spares, std::size_t used, double mean)
+double AddedUncoveredOutages(std::size_t spares, std::size_t used, double mean)
 {
   const std::size_t left = spares - std::min(spares, used);
-  return ExpectedBeyond(left, mean) - ExpectedBeyond(spares, mean);
+  return ExpectedExcess(left, mean) - ExpectedExcess(spares, mean);
 }
 
 } // namespace gooseberrysail::impl
--- a/src/placement/history.cpp
+++ b/src/placement/history.cpp
@@ -9,46 +9,48 @@
 
 using namespace std::chrono_literals;
 
-/// Assumed until seen otherwise: pauses, restarts, replacements and deaths.
-constexpr std::array<OutageKind, 4> kAloneMix{ {
+/// Prior for outages of a single VM: pauses, restarts, replacements and failures that last
+/// hours.
+constexpr std::array<OutageKind, 4> kSingleVmPrior{ {
   { 0.40, 20, 0.95 },
   { 0.25, 120, 0.05 },
   { 0.20, 900, 0.02 },
   { 0.15, 21600, 0 },
 } };
-constexpr double kAloneAssumed = 20;
+constexpr double kSingleVmPriorCount = 20;
 
-/// Assumed until seen otherwise: a rack or a switch.
-constexpr std::array<OutageKind, 3> kPartMix{ {
+/// Prior for outages of a part of a fabric domain: a rack or a switch.
+constexpr std::array<OutageKind, 3> kPartialDomainPrior{ {
   { 0.25, 45, 0.95 },
   { 0.55, 1200, 0.5 },
   { 0.20, 7200, 0.2 },
 } };
 
-/// Assumed until seen otherwise: a blip of the network, a failure domain.
-constexpr std::array<OutageKind, 3> kWholeMix{ {
+/// Prior for outages of a whole fabric domain: a short network outage or a failure domain.
+constexpr std::array<OutageKind, 3> kWholeDomainPrior{ {
   { 0.75, 45, 0.95 },
   { 0.15, 1200, 0.5 },
   { 0.10, 7200, 0.2 },
 } };
-constexpr double kManyAssumed = 5;
+constexpr double kDomainPriorCount = 5;
 
-/// Share of a fabric domain's VMs that makes it dark as a whole.
+/// An outage of at least this share of a fabric domain's VMs is one of the whole domain.
 constexpr double kWholeShare = 0.8;
 
-/// So many VMs of one fabric domain lost within the window were lost by one cause.
-constexpr std::size_t kTogetherCount = 3;
-constexpr Duration kTogetherWindow = 6s;
+/// When at least this many VMs of one fabric domain are lost within the window, they are assumed to
+/// have one cause.
+constexpr std::size_t kCorrelatedCount = 3;
+constexpr Duration kCorrelatedWindow = 6s;
 
 /// 300 outages a day on 7,200 VMs.
-constexpr double kAssumedRate = 300.0 / 7200 / 86400;
-constexpr double kAssumedOutages = 2;
+constexpr double kPriorOutageRate = 300.0 / 7200 / 86400;
+constexpr double kPriorOutages = 2;
 
 constexpr Duration kFlapWindow = 30min;
 constexpr std::size_t kFlapCount = 3;
 constexpr Duration kFirstQuarantine = 2min;
-constexpr Duration kLongestQuarantine = 1h;
-constexpr std::size_t kMostOutagesKept = 16;
+constexpr Duration kMaxQuarantine = 1h;
+constexpr std::size_t kMaxOutagesKept = 16;
 
 std::size_t CountRecent(const VmHistory& history, TimePoint now)
 {
@@ -56,60 +58,60 @@
     history.outages, [now](TimePoint outage) { return now - outage < kFlapWindow; }));
 }
 
-/// Doubles with each outage beyond the first that count as flapping: a VM that has calmed down
-/// is back soon, one that hasn't does less and less harm.
+/// Doubles with each outage beyond kFlapCount: a VM that has become stable is available again soon,
+/// and one that has not disturbs groups less and less often.
 Duration QuarantineTime(std::size_t outages)
 {
   Duration time = kFirstQuarantine;
-  for (std::size_t count = kFlapCount; count < outages && time < kLongestQuarantine; ++count) {
+  for (std::size_t count = kFlapCount; count < outages && time < kMaxQuarantine; ++count) {
     time *= 2;
   }
-  return std::min(time, kLongestQuarantine);
+  return std::min(time, kMaxQuarantine);
 }
 
 } // namespace
 
 History::History()
-  : m_times{ ReturnTimes(kAloneMix, kAloneAssumed),
-             ReturnTimes(kPartMix, kManyAssumed),
-             ReturnTimes(kWholeMix, kManyAssumed) }
-  , m_outages(kAssumedOutages)
-  , m_vmSeconds(kAssumedOutages / kAssumedRate)
+  : m_times{ ReturnTimes(kSingleVmPrior, kSingleVmPriorCount),
+             ReturnTimes(kPartialDomainPrior, kDomainPriorCount),
+             ReturnTimes(kWholeDomainPrior, kDomainPriorCount) }
+  , m_outages(kPriorOutages)
+  , m_vmSeconds(kPriorOutages / kPriorOutageRate)
 {
 }
 
 void History::Observe(TimePoint now, const PlannerInput& input)
 {
-  Align(input);
+  AlignRows(input);
   if (m_lastCall) {
     m_vmSeconds += ToSeconds(now - *m_lastCall) * static_cast<double>(input.vms.size());
   }
   m_lastCall = now;
-  for (std::vector<Row>& lost : m_lostLately) {
-    std::erase_if(lost, [&](Row row) { return now - m_vms[row].awaySince > kTogetherWindow; });
+  for (std::vector<Row>& lost : m_recentlyLost) {
+    std::erase_if(lost, [&](Row row) { return now - m_vms[row].awaySince > kCorrelatedWindow; });
   }
   for (Row row = 0; row < m_vms.size(); ++row) {
     const VmView& view = input.vms[row];
     VmHistory& history = m_vms[row];
     if (!view.reachable) {
-      NoteAway(now, row, view);
+      RecordAway(now, row, view);
       continue;
     }
     if (history.isAway) {
-      NoteReturn(now, history, view);
+      RecordReturn(now, history, view);
     }
     if (history.weights != view.loadedModel) {
       history.weights = view.loadedModel;
     }
-    NoteStraggling(now, history, view);
+    RecordStraggling(now, history, view);
   }
   for (ReturnTimes& times : m_times) {
     times.Refresh();
   }
 }
 
-/// The control leader keeps its tables in one order, so that almost always nothing has moved.
-void History::Align(const PlannerInput& input)
+/// The control leader keeps its tables in a stable order, so usually nothing has to be moved.
+void History::AlignRows(const PlannerInput& input)
 {
   const auto isSame = [](const VmHistory& history, const VmView& view) {
     return history.vm == view.vm && history.fabricDomain == view.fabricDomain;
@@ -121,7 +123,7 @@
   const std::unordered_map<std::string, Row> oldRows = std::move(m_rows);
   m_vms.clear();
   m_rows.clear();
-  m_lostLately.assign(m_lostLately.size(), {});
+  m_recentlyLost.assign(m_recentlyLost.size(), {});
   for (const VmView& view : input.vms) {
     const auto row = static_cast<Row>(m_vms.size());
     const bool isNew = m_rows.try_emplace(view.vm.Get(), row).second;
@@ -136,7 +138,7 @@
       m_fabrics.try_emplace(view.fabricDomain.Get(), static_cast<Row>(m_fabrics.size()))
         .first->second;
   }
-  m_lostLately.resize(m_fabrics.size());
+  m_recentlyLost.resize(m_fabrics.size());
   m_fabricSizes.assign(m_fabrics.size(), 0);
   for (const VmHistory& history : m_vms) {
     ++m_fabricSizes[history.fabric];
@@ -149,37 +151,37 @@
   return found == m_rows.end() ? kNoRow : found->second;
 }
 
-void History::NoteAway(TimePoint now, Row row, const VmView& view)
+void History::RecordAway(TimePoint now, Row row, const VmView& view)
 {
   VmHistory& history = m_vms[row];
   if (history.isAway) {
-    CountAway(history, now);
+    AccountTimeAway(history, now);
     return;
   }
   history.isAway = true;
   history.span = OutageSpan::kAlone;
   history.weight = 1;
-  // A new leader may not have heard of the VM at all: then its outage begins now.
+  // A new leader may have had no contact with the VM yet: then the outage starts now.
   history.awaySince = view.lastHeard == TimePoint{} ? now : std::min(now, view.lastHeard);
   history.countedUntil = history.awaySince;
   history.outages.push_back(history.awaySince);
-  if (history.outages.size() > kMostOutagesKept) {
+  if (history.outages.size() > kMaxOutagesKept) {
     history.outages.erase(history.outages.begin());
   }
   m_outages += 1;
-  // One VM that comes and goes within the window is still one VM.
-  std::vector<Row>& lost = m_lostLately[history.fabric];
+  // A VM lost several times within the window counts once.
+  std::vector<Row>& lost = m_recentlyLost[history.fabric];
   if (std::ranges::find(lost, row) == lost.end()) {
     lost.push_back(row);
   }
-  NoteTogether(history);
-  CountAway(history, now);
+  RecordCorrelatedLoss(history);
+  AccountTimeAway(history, now);
 }
 
-void History::NoteTogether(const VmHistory& history)
+void History::RecordCorrelatedLoss(const VmHistory& history)
 {
-  const std::vector<Row>& lost = m_lostLately[history.fabric];
-  if (lost.size() < kTogetherCount) {
+  const std::vector<Row>& lost = m_recentlyLost[history.fabric];
+  if (lost.size() < kCorrelatedCount) {
     return;
   }
   const double share = kWholeShare * static_cast<double>(m_fabricSizes[history.fabric]);
@@ -188,7 +190,7 @@
   for (const Row row : lost) {
     VmHistory& other = m_vms[row];
     if (other.span == OutageSpan::kAlone) {
-      // A VM that goes dark with its fabric domain isn't a VM that flaps.
+      // An outage shared with other VMs of the fabric domain is no sign of flapping.
       other.outages.pop_back();
       m_outages -= 1;
     }
@@ -197,7 +199,7 @@
   }
 }
 
-void History::CountAway(VmHistory& history, TimePoint until)
+void History::AccountTimeAway(VmHistory& history, TimePoint until)
 {
   TimesOf(history).AddAway(ToSeconds(history.countedUntil - history.awaySince),
                            ToSeconds(until - history.awaySince),
@@ -205,16 +207,16 @@
   history.countedUntil = until;
 }
 
-void History::NoteReturn(TimePoint now, VmHistory& history, const VmView& view)
+void History::RecordReturn(TimePoint now, VmHistory& history, const VmView& view)
 {
-  CountAway(history, now);
+  AccountTimeAway(history, now);
   const bool keptWeights = !view.loadedModel.empty() && view.loadedModel == history.weights;
   TimesOf(history).AddReturn(ToSeconds(now - history.awaySince), keptWeights, history.weight);
   history.isAway = false;
   history.returnedAt = now;
 }
 
-void History::NoteStraggling(TimePoint now, VmHistory& history, const VmView& view) const
+void History::RecordStraggling(TimePoint now, VmHistory& history, const VmView& view) const
 {
   if (!view.straggler) {
     history.stragglesSince.reset();
@@ -229,7 +231,7 @@
   if (history.outages.size() < kFlapCount || !history.returnedAt) {
     return false;
   }
-  // Counted at its latest return: the quarantine's end must not move while it lasts.
+  // Counted at the latest return, so that the end of the quarantine doesn't move while it lasts.
   const std::size_t outages = CountRecent(history, *history.returnedAt);
   return outages >= kFlapCount && now - *history.returnedAt < QuarantineTime(outages);
 }
--- a/src/placement/model_work.cpp
+++ b/src/placement/model_work.cpp
@@ -16,9 +16,9 @@
   return model.pace * (reading + writing);
 }
 
-double GroupsForService(double offeredLoad)
+double RequiredGroups(double offeredLoad)
 {
-  return offeredLoad + kStaffing * std::sqrt(offeredLoad);
+  return offeredLoad + kStaffingFactor * std::sqrt(offeredLoad);
 }
 
 Duration FullStep(const EngineSpec& engine, const GroupModel& model)
@@ -30,14 +30,15 @@
 
 std::uint32_t WantedGroups(double offeredLoad)
 {
-  // A whole group for a sliver of work would take the spares that the next loss needs.
-  const auto rounded = static_cast<std::uint32_t>(std::lround(GroupsForService(offeredLoad)));
+  // Rounds to the nearest number: rounding up would use a whole group for a small remainder of load
+  // and leave fewer spares for the next loss.
+  const auto rounded = static_cast<std::uint32_t>(std::lround(RequiredGroups(offeredLoad)));
   return offeredLoad > 0 ? std::max(rounded, 1U) : 0;
 }
 
-double ServedPart(double groups, double offeredLoad)
+double ServedFraction(double groups, double offeredLoad)
 {
-  return offeredLoad <= 0 ? 1 : std::min(1.0, groups / GroupsForService(offeredLoad));
+  return offeredLoad <= 0 ? 1 : std::min(1.0, groups / RequiredGroups(offeredLoad));
 }
 
 } // namespace gooseberrysail
--- a/src/placement/planner.cpp
+++ b/src/placement/planner.cpp
@@ -16,15 +16,15 @@
 
 using namespace std::chrono_literals;
 
-/// How long a decision may take through the log before it is taken again.
-constexpr Duration kPromiseTime = 5s;
-/// A planner that just began to plan repairs nothing for this long: a new leader hasn't heard
-/// most VMs yet, and would give up groups that serve.
-constexpr Duration kSettleTime = 5s;
-/// After such a gap between calls the planner counts as one that just began.
-constexpr Duration kLongestGap = 5min;
-/// Members of a group that broke although all were in reach, or that got stuck, are avoided.
-constexpr Duration kDoubtTime = 10min;
+/// How long an action may take to be applied through the log before it is returned again.
+constexpr Duration kPendingTimeout = 5s;
+/// A planner makes no repairs for this long after its first call: a new leader has had no contact
+/// with most VMs yet and would dissolve groups that serve.
+constexpr Duration kStartupGrace = 5s;
+/// After a longer gap between calls the startup grace period begins again.
+constexpr Duration kMaxCallGap = 5min;
+/// How long members are avoided after their group broke with all of them reachable, or got stuck.
+constexpr Duration kSuspectTime = 10min;
 
 const PolicySpec kDefaultPolicy;
 
@@ -44,62 +44,63 @@
   RepairPolicy policy;
   impl::History history;
   impl::WeightLoads loads;
-  impl::Promises promises;
+  impl::PendingActions pendingActions;
   impl::MemberRows memberRows;
   impl::Preloads preloads;
-  std::vector<TimePoint> owedLoads; ///< Of groups given up and not formed again, until when.
-  std::optional<TimePoint> begunAt;
+  /// Expiry times of loads reserved for dissolved groups that are not formed again yet.
+  std::vector<TimePoint> reservedLoads;
+  std::optional<TimePoint> startedAt;
   TimePoint lastCall{};
 
   bool IsSettled(TimePoint now)
   {
-    if (!begunAt || now - lastCall > kLongestGap) {
-      begunAt = now;
+    if (!startedAt || now - lastCall > kMaxCallGap) {
+      startedAt = now;
     }
     lastCall = now;
-    return now - *begunAt >= kSettleTime;
+    return now - *startedAt >= kStartupGrace;
   }
 
-  void Remember(const impl::Fleet& fleet, const std::vector<PlannerAction>& actions)
+  void RecordPending(const impl::Fleet& fleet, const std::vector<PlannerAction>& actions)
   {
-    const TimePoint until = fleet.now + kPromiseTime;
+    const TimePoint until = fleet.now + kPendingTimeout;
     for (const PlannerAction& action : actions) {
       if (const auto* form = std::get_if<FormGroupAction>(&action)) {
         for (const VmId& vm : form->members) {
-          promises.vms[vm.Get()] = until;
+          pendingActions.vms[vm.Get()] = until;
         }
       } else if (const auto* dissolve = std::get_if<DissolveGroupAction>(&action)) {
-        promises.endings[dissolve->group.Get()] = { until, true };
+        pendingActions.endings[dissolve->group.Get()] = { until, true };
       } else if (const auto* drain = std::get_if<DrainGroupAction>(&action)) {
-        promises.endings[drain->group.Get()] = { until, false };
+        pendingActions.endings[drain->group.Get()] = { until, false };
       }
     }
   }
 
-  /// Nobody can tell which member is the cause: all of them step back behind other VMs.
-  void DoubtMembers(const impl::Fleet& fleet, const impl::FleetGroup& group)
+  /// The faulty member can't be identified, so other VMs are preferred to all of the members.
+  void MarkMembersSuspect(const impl::Fleet& fleet, const impl::FleetGroup& group)
   {
     if (!group.missing.empty() || group.unknown > 0) {
       return;
     }
     for (const impl::Row vm : group.members) {
-      history.Doubt(vm, fleet.now + kDoubtTime);
+      history.MarkSuspect(vm, fleet.now + kSuspectTime);
     }
   }
 
-  /// Until a group given up is formed again, the load that it will need is spoken for: another
-  /// repair that took its place at the store would leave both groups down.
+  /// Until a dissolved group is formed again, the load that it will need is reserved: if another
+  /// repair took it, both groups would stay down.
   std::uint32_t LoadsLeftForRepairs(const impl::Fleet& fleet)
   {
-    std::erase_if(owedLoads, [&](TimePoint until) { return until <= fleet.now; });
+    std::erase_if(reservedLoads, [&](TimePoint until) { return until <= fleet.now; });
     const std::uint32_t left = loads.CountLeft(*fleet.policy);
-    return left - std::min(left, static_cast<std::uint32_t>(owedLoads.size()));
+    return left - std::min(left, static_cast<std::uint32_t>(reservedLoads.size()));
   }
 
-  void PayLoads(std::size_t formed)
+  void ReleaseReservedLoads(std::size_t formed)
   {
-    const auto paid = static_cast<std::ptrdiff_t>(std::min(formed, owedLoads.size()));
-    owedLoads.erase(owedLoads.begin(), owedLoads.begin() + paid);
+    const auto released = static_cast<std::ptrdiff_t>(std::min(formed, reservedLoads.size()));
+    reservedLoads.erase(reservedLoads.begin(), reservedLoads.begin() + released);
   }
 
   std::uint32_t LoadsLeft(const impl::Fleet& fleet) const
@@ -110,7 +111,7 @@
     return left - std::min(left, promised);
   }
 
-  void GiveUp(impl::Fleet& fleet, impl::Row row, std::vector<PlannerAction>& actions)
+  void Dissolve(impl::Fleet& fleet, impl::Row row, std::vector<PlannerAction>& actions)
   {
     impl::FleetGroup& group = fleet.groups[row];
     if (group.ending) {
@@ -118,8 +119,8 @@
     }
     group.ending = true;
     group.releasing = true;
-    owedLoads.push_back(fleet.now + kPromiseTime);
-    DoubtMembers(fleet, group);
+    reservedLoads.push_back(fleet.now + kPendingTimeout);
+    MarkMembersSuspect(fleet, group);
     actions.emplace_back(
       DissolveGroupAction{ group.view->group, "its survivors serve sooner in a new group" });
   }
@@ -128,36 +129,36 @@
   {
     impl::Retirement retired = impl::RetireGroups(fleet, history, loads);
     for (const impl::Row row : retired.stuck) {
-      DoubtMembers(fleet, fleet.groups[row]);
+      MarkMembersSuspect(fleet, fleet.groups[row]);
     }
     std::vector<PlannerAction> actions = std::move(retired.actions);
     std::vector<std::uint32_t> extra = std::move(retired.surge);
     if (isSettled) {
       for (const impl::Row row :
            policy({ fleet, history, loads, LoadsLeftForRepairs(fleet), preloads.AreGranted() })) {
-        GiveUp(fleet, row, actions);
+        Dissolve(fleet, row, actions);
       }
     }
     std::uint32_t loadsLeft = LoadsLeft(fleet);
-    if (isSettled && hasStandIns) {
-      const auto standIns =
-        impl::CountStandIns({ fleet, history, loads, loadsLeft, preloads.AreGranted() });
-      std::ranges::transform(extra, standIns, extra.begin(), std::plus{});
+    if (isSettled && formsSubstitutes) {
+      const auto substitutes =
+        impl::CountSubstitutes({ fleet, history, loads, loadsLeft, preloads.AreGranted() });
+      std::ranges::transform(extra, substitutes, extra.begin(), std::plus{});
     }
     std::vector<FormGroupAction> formed = impl::FormGroups(fleet, extra, loadsLeft);
-    PayLoads(formed.size());
+    ReleaseReservedLoads(formed.size());
     std::ranges::move(formed, std::back_inserter(actions));
     preloads.Choose(fleet, loadsLeft);
     return actions;
   }
 
-  bool hasStandIns = false;
+  bool formsSubstitutes = false;
 };
 
 PlacementPlanner::PlacementPlanner()
   : PlacementPlanner(&ChooseByCost)
 {
-  m_impl->hasStandIns = true;
+  m_impl->formsSubstitutes = true;
 }
 
 PlacementPlanner::PlacementPlanner(RepairPolicy policy)
@@ -172,21 +173,21 @@
 std::vector<PlannerAction> PlacementPlanner::Plan(TimePoint now, const PlannerInput& input)
 {
   Impl& planner = *m_impl;
-  planner.promises.DropOverdue(now);
+  planner.pendingActions.RemoveExpired(now);
   planner.history.Observe(now, input);
   impl::Fleet fleet =
-    impl::BuildFleet(now, input, planner.promises, planner.history, planner.memberRows);
+    impl::BuildFleet(now, input, planner.pendingActions, planner.history, planner.memberRows);
   fleet.policy = input.policy != nullptr ? input.policy : &kDefaultPolicy;
   planner.loads.Observe(fleet);
   planner.preloads.Observe(fleet);
   std::vector<PlannerAction> actions = planner.Plan(fleet, planner.IsSettled(now));
-  planner.Remember(fleet, actions);
+  planner.RecordPending(fleet, actions);
   return actions;
 }
 
-std::span<const PreloadWish> PlacementPlanner::Preloads() const noexcept
+std::span<const PreloadRequest> PlacementPlanner::Preloads() const noexcept
 {
-  return m_impl->preloads.Wishes();
+  return m_impl->preloads.Requests();
 }
 
 } // namespace gooseberrysail
--- a/src/placement/pool_candidates.cpp
+++ b/src/placement/pool_candidates.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-/// Those that `fits` come first; otherwise the order stays.
+/// Moves the targets that match `fits` to the front and keeps the order otherwise.
 template<class Fits>
-void PutFirst(Targets& targets, Fits fits)
+void MoveToFront(Targets& targets, Fits fits)
 {
   std::stable_partition(targets.begin(), targets.end(), fits);
 }
 
-/// A target that joins a group has its weights put in the place of all that its host holds.
+/// When a target joins a group, the group's weights replace all that its host holds.
 bool LosesOtherWeights(const FreeTarget& target, const std::string& model)
 {
   const bool servedOther = !target.lastModel.empty() && target.lastModel != model;
@@ -31,7 +31,7 @@
     targets, [&](const FreeTarget* target) { return HoldsModel(*target, model); }));
 }
 
-/// Those that hold the model's weights and another one's.
+/// Counts targets that hold the model's weights and would lose those of another model.
 std::uint32_t CountLosing(const Targets& targets, const std::string& model)
 {
   return static_cast<std::uint32_t>(std::ranges::count_if(targets, [&](const FreeTarget* target) {
@@ -44,7 +44,7 @@
   return static_cast<std::uint32_t>(std::ranges::count(targets, model, &FreeTarget::lastModel));
 }
 
-/// How soon a target's host holds a model's weights, the soonest first.
+/// How soon a target's host can hold a model's weights, the soonest first.
 enum class Readiness
 {
   kHolds,
@@ -66,7 +66,9 @@
 
 } // namespace
 
-Place MakePlace(const FabricDomainId& domain, const Targets& targets, const GroupModel& model)
+FormationOption EvaluateFormation(const FabricDomainId& domain,
+                                  const Targets& targets,
+                                  const GroupModel& model)
 {
   const std::uint32_t warm = CountWarm(targets, model.name);
   const std::uint32_t losing = CountLosing(targets, model.name);
@@ -79,24 +81,26 @@
            targets.size() };
 }
 
-/// Fewest loads first. Then fewest weights lost, which only a load brings back, and fewest changes
-/// of model. Then the domain with most room, so that groups spread evenly and one dark domain takes
-/// few of a model.
-bool IsBetter(const Place& left, const Place& right)
+/// Fewest loads first; then fewest weights lost, as only a load restores them; then fewest changes
+/// of model. Then the domain with most free targets, so that groups are spread evenly and the loss
+/// of a domain affects few groups of a model.
+bool IsBetter(const FormationOption& left, const FormationOption& right)
 {
   return std::tuple(left.loads, left.lost, left.changes, right.free, left.fabricDomain) <
          std::tuple(right.loads, right.lost, right.changes, left.free, right.fabricDomain);
 }
 
-void PutInOrder(Targets& targets, const std::string& model)
+void SortForModel(Targets& targets, const std::string& model)
 {
-  // The quickest first, and before them those that can serve this model only.
-  PutFirst(targets, [&](const FreeTarget* target) { return target->lastModel == model; });
-  PutFirst(targets, [&](const FreeTarget* target) { return !LosesOtherWeights(*target, model); });
-  PutFirst(targets, [&](const FreeTarget* target) { return HoldsModel(*target, model); });
+  // Sort keys, least significant first: quickest join, then targets that lose no other model's
+  // weights, then targets that hold this model's weights.
+  MoveToFront(targets, [&](const FreeTarget* target) { return target->lastModel == model; });
+  MoveToFront(targets,
+              [&](const FreeTarget* target) { return !LosesOtherWeights(*target, model); });
+  MoveToFront(targets, [&](const FreeTarget* target) { return HoldsModel(*target, model); });
 }
 
-Assembly MakeAssembly(const FabricDomainId& domain, Targets targets, const GroupModel& model)
+CandidateGroup MakeCandidate(const FabricDomainId& domain, Targets targets, const GroupModel& model)
 {
   const auto readiness = [&](const FreeTarget* target) { return ReadinessOf(*target, model.name); };
   std::ranges::stable_sort(targets, std::less{}, readiness);
@@ -110,25 +114,25 @@
   return { domain, std::move(targets), blocked, toBegin, underWay, false };
 }
 
-/// Loads take equally long, so that one more to begin costs no time, while a group that another
-/// model gives up costs its callers.
-bool IsSooner(const Assembly& left, const Assembly& right)
+/// All loads take equally long, so one more load to start takes no extra time, while closing a
+/// group of another model affects its callers.
+bool IsReadySooner(const CandidateGroup& left, const CandidateGroup& right)
 {
-  const auto rank = [](const Assembly& each) {
+  const auto rank = [](const CandidateGroup& each) {
     return std::tuple(each.blocked, each.toBegin > 0, each.takesOver, each.toBegin);
   };
   return rank(left) < rank(right);
 }
 
-bool IsComing(const FreeTarget& target, const std::string& model)
+bool HoldsOrLoads(const FreeTarget& target, const std::string& model)
 {
   return HoldsModel(target, model) || target.staging == model;
 }
 
-std::size_t CountComing(const Targets& targets, const std::string& model)
+std::size_t CountHoldingOrLoading(const Targets& targets, const std::string& model)
 {
   return static_cast<std::size_t>(std::ranges::count_if(
-    targets, [&](const FreeTarget* target) { return IsComing(*target, model); }));
+    targets, [&](const FreeTarget* target) { return HoldsOrLoads(*target, model); }));
 }
 
 } // namespace gooseberrysail::impl
--- a/src/placement/pool_candidates.hpp
+++ b/src/placement/pool_candidates.hpp
@@ -10,47 +10,47 @@
 
 using Targets = std::vector<const FreeTarget*>;
 
-/// \brief One place for one group.
-struct Place
+/// \brief Cost of forming one group in a domain.
+struct FormationOption
 {
   FabricDomainId fabricDomain;
   std::uint32_t loads = 0;
   std::uint32_t lost = 0;    ///< Members whose hosts lose another model's weights.
   std::uint32_t changes = 0; ///< Members that served another model last.
-  std::size_t free = 0;      ///< Targets of the domain.
+  std::size_t free = 0;      ///< Free targets of the domain.
 };
 
-/// \brief What a group of the model costs when it is formed of these targets.
-[[nodiscard]] Place MakePlace(const FabricDomainId& domain,
-                              const Targets& targets,
-                              const GroupModel& model);
+/// \brief Cost of forming a group of the model from these targets of the domain.
+[[nodiscard]] FormationOption EvaluateFormation(const FabricDomainId& domain,
+                                                const Targets& targets,
+                                                const GroupModel& model);
 
-[[nodiscard]] bool IsBetter(const Place& left, const Place& right);
+[[nodiscard]] bool IsBetter(const FormationOption& left, const FormationOption& right);
 
-/// \brief The targets of a domain in the order in which a group of the model takes them.
-void PutInOrder(Targets& targets, const std::string& model);
+/// \brief Sorts the targets of a domain by preference for a group of the model.
+void SortForModel(Targets& targets, const std::string& model);
 
-/// \brief Targets of one domain that make a group once all of them hold its weights.
-struct Assembly
+/// \brief Targets of one domain that can form a group once all of them hold its weights.
+struct CandidateGroup
 {
   FabricDomainId fabricDomain;
   Targets members;
-  std::size_t blocked = 0; ///< Their hosts load other weights first.
-  std::size_t toBegin = 0; ///< Loads that have not begun.
+  std::size_t blocked = 0; ///< Members whose hosts are loading other weights.
+  std::size_t toBegin = 0; ///< Loads still to start.
   std::size_t underWay = 0;
   bool takesOver = false; ///< Some of the members serve another model.
 };
 
-/// \brief Of these targets those that hold the model's weights soonest, as many as a group has.
-[[nodiscard]] Assembly MakeAssembly(const FabricDomainId& domain,
-                                    Targets targets,
-                                    const GroupModel& model);
+/// \brief Chooses as many targets as a group has members, those that hold the weights soonest.
+[[nodiscard]] CandidateGroup MakeCandidate(const FabricDomainId& domain,
+                                           Targets targets,
+                                           const GroupModel& model);
 
-[[nodiscard]] bool IsSooner(const Assembly& left, const Assembly& right);
+[[nodiscard]] bool IsReadySooner(const CandidateGroup& left, const CandidateGroup& right);
 
-/// \brief Whether the target's host holds the weights or loads them.
-[[nodiscard]] bool IsComing(const FreeTarget& target, const std::string& model);
+/// \brief Whether the target's host holds the weights or is loading them.
+[[nodiscard]] bool HoldsOrLoads(const FreeTarget& target, const std::string& model);
 
-[[nodiscard]] std::size_t CountComing(const Targets& targets, const std::string& model);
+[[nodiscard]] std::size_t CountHoldingOrLoading(const Targets& targets, const std::string& model);
 
 } // namespace gooseberrysail::impl
--- a/src/placement/pool_plan.cpp
+++ b/src/placement/pool_plan.cpp
@@ -14,29 +14,29 @@
 
 namespace {
 
-/// A takeover that changes less than this, in groups, is not worth its loads: it uses up the second
-/// weights of the hosts, and the store gives back some four in ten seconds.
-constexpr double kLeastGain = 0.3;
-/// Of a model of which nothing is wanted.
-constexpr double kFulfilled = 10;
-/// Served part of a model without any group: the logarithm of none has no bound.
-constexpr double kLeastServed = 0.05;
-
-using impl::Assembly;
-using impl::CountComing;
+/// Minimum gain of a takeover, in groups. A smaller gain isn't worth the second weights of the
+/// hosts that it uses up: the store reloads only about four of them in ten seconds.
+constexpr double kMinGain = 0.3;
+/// Fulfilment of a model without demand.
+constexpr double kFulfilmentWithoutDemand = 10;
+/// Lower bound of the served fraction, as the logarithm of zero is not finite.
+constexpr double kMinServedFraction = 0.05;
+
+using impl::CandidateGroup;
+using impl::CountHoldingOrLoading;
+using impl::EvaluateFormation;
+using impl::FormationOption;
+using impl::HoldsOrLoads;
 using impl::IsBetter;
-using impl::IsComing;
-using impl::IsSooner;
-using impl::MakeAssembly;
-using impl::MakePlace;
-using impl::Place;
-using impl::PutInOrder;
+using impl::IsReadySooner;
+using impl::MakeCandidate;
+using impl::SortForModel;
 using impl::Targets;
 
-class Planner
+class PoolPlanner
 {
 public:
-  explicit Planner(const PoolInput& input)
+  explicit PoolPlanner(const PoolInput& input)
     : m_input(input)
     , m_needs(input.needs.begin(), input.needs.end())
     , m_loadsLeft(input.loadsLeft)
@@ -48,7 +48,7 @@
     for (const FreeTarget& target : input.returning) {
       m_returning[target.fabricDomain].push_back(&target);
     }
-    // A large group finds room only where the small ones left it.
+    // Large groups come first: small ones could leave too few targets in each domain for them.
     std::ranges::stable_sort(
       m_needs, std::greater{}, [](const ModelNeed& need) { return need.model->size; });
   }
@@ -59,7 +59,7 @@
     StageMissing();
     LimitLoads(m_input.spareLoads);
     StageSpares();
-    // A join uses up second weights, so that a load which a group or a spare needs is worth more.
+    // A join uses up second weights, so loads for groups and spares have priority.
     if (m_input.loadsAreCheap || !LacksAny(m_input.needs)) {
       LimitLoads(m_input.secondLoads);
       StageSecondWeights();
@@ -70,9 +70,9 @@
 private:
   static const std::string& NameOf(const ModelNeed& need) { return need.model->name; }
 
-  /// One group at a time for the model that lacks most, also by what another model can spare; only
-  /// then do those that lack less take what is free. In another order the targets that one model
-  /// gave up would go back to it.
+  /// Adds one group at a time for the model with the greatest need, if necessary by a takeover;
+  /// only then do models with less need take free targets. In another order, targets released by a
+  /// model would be assigned to it again.
   void FillNeeds()
   {
     std::vector<ModelNeed*> open = ListNeeds();
@@ -103,8 +103,8 @@
 
   bool AddGroup(ModelNeed& need)
   {
-    if (const std::optional<Place> place = FindPlace(*need.model)) {
-      Form(*need.model, *place);
+    if (const std::optional<FormationOption> option = FindFormation(*need.model)) {
+      Form(*need.model, *option);
       ++need.groups;
       return true;
     }
@@ -112,30 +112,30 @@
       return false;
     }
     if (const std::optional<Takeover> warm = FindTakeover(need, Members::kWarm)) {
-      Release(need, *warm);
+      PlanTakeover(need, *warm);
       return true;
     }
     const std::optional<Takeover> takeover = FindTakeover(need, Members::kAny);
-    const std::optional<Assembly> idle = FindAssembly(*need.model);
-    if (takeover && (!idle || IsSooner(takeover->assembly, *idle))) {
-      LackOf(need).takeover = TakeoverVerdict::kWaitsForLoads;
-      BeginLoads(need, takeover->assembly, LoadPurpose::kTakeover);
+    const std::optional<CandidateGroup> idle = FindCandidate(*need.model);
+    if (takeover && (!idle || IsReadySooner(takeover->candidate, *idle))) {
+      ShortageOf(need).takeover = TakeoverVerdict::kWaitsForLoads;
+      BeginLoads(need, takeover->candidate, LoadPurpose::kTakeover);
     } else if (idle) {
       BeginLoads(need, *idle, LoadPurpose::kGroup);
     }
     return false;
   }
 
-  /// Further groups wait for loads, too; none of them keeps targets from a group that can be
-  /// formed.
+  /// Starts loads for further groups. It runs after FillNeeds, so that no targets are reserved that
+  /// a group could be formed of now.
   void StageMissing()
   {
     std::vector<ModelNeed*> open = ListNeeds();
     while (!open.empty()) {
       const auto worst = FindWorst(open);
       ModelNeed& need = **worst;
-      const std::optional<Assembly> idle =
-        need.groups < need.wanted ? FindAssembly(*need.model) : std::nullopt;
+      const std::optional<CandidateGroup> idle =
+        need.groups < need.wanted ? FindCandidate(*need.model) : std::nullopt;
       if (!idle) {
         open.erase(worst);
         continue;
@@ -144,7 +144,7 @@
     }
   }
 
-  PlannedShortage& LackOf(const ModelNeed& need)
+  PlannedShortage& ShortageOf(const ModelNeed& need)
   {
     const auto found = std::ranges::find(m_plan.shortages, NameOf(need), &PlannedShortage::model);
     if (found != m_plan.shortages.end()) {
@@ -161,82 +161,85 @@
                                [](const ModelNeed& need) { return need.groups < need.wanted; });
   }
 
-  /// Before traffic nothing is known of the work, and all count alike.
+  /// Without traffic the offered load is unknown and all models are equal.
   static bool LacksMore(const ModelNeed& left, const ModelNeed& right)
   {
     return Fulfilment(left) < Fulfilment(right);
   }
 
-  [[nodiscard]] std::optional<Place> FindPlace(const GroupModel& model) const
+  [[nodiscard]] std::optional<FormationOption> FindFormation(const GroupModel& model) const
   {
-    std::optional<Place> best;
+    std::optional<FormationOption> best;
     for (const auto& [domain, targets] : m_pool) {
       if (targets.size() < model.size) {
         continue;
       }
-      Place place = MakePlace(domain, targets, model);
-      place.free += ReturningTo(domain).size();
+      FormationOption option = EvaluateFormation(domain, targets, model);
+      option.free += ReturningTo(domain).size();
       const bool allowed =
-        place.loads == 0 || (m_input.loadsAreCheap && place.loads <= m_loadsLeft);
-      if (allowed && (!best || IsBetter(place, *best))) {
-        best = place;
+        option.loads == 0 || (m_input.loadsAreCheap && option.loads <= m_loadsLeft);
+      if (allowed && (!best || IsBetter(option, *best))) {
+        best = option;
       }
     }
     return best;
   }
 
-  void Form(const GroupModel& model, const Place& place)
+  void Form(const GroupModel& model, const FormationOption& option)
   {
-    Targets& targets = m_pool[place.fabricDomain];
-    PutInOrder(targets, model.name);
-    PlannedGroup group{ model.name, {}, place.loads };
+    Targets& targets = m_pool[option.fabricDomain];
+    SortForModel(targets, model.name);
+    PlannedGroup group{ model.name, {}, option.loads };
     for (std::size_t i = 0; i < model.size; ++i) {
       group.members.push_back(targets[i]->instance);
     }
     targets.erase(targets.begin(), targets.begin() + model.size);
-    m_loadsLeft -= place.loads;
+    m_loadsLeft -= option.loads;
     m_plan.groups.push_back(std::move(group));
   }
 
-  /// Groups of a model for each that its requests need.
+  /// Ratio of a model's groups to those that its requests need.
   static double Fulfilment(const ModelNeed& need)
   {
-    return need.offeredLoad <= 0 ? kFulfilled : need.groups / GroupsForService(need.offeredLoad);
+    return need.offeredLoad <= 0 ? kFulfilmentWithoutDemand
+                                 : need.groups / RequiredGroups(need.offeredLoad);
   }
 
-  /// Proportional fairness: the logarithm of the served part, by the model's work. Beyond what its
-  /// requests need a model gains nothing, so none gives its groups for another's reserve; and the
-  /// less a model has, the more a further group is worth to it.
-  static double Value(const ModelNeed& need, int change)
+  /// Proportional fairness: the logarithm of the served fraction, weighted by the offered load.
+  /// Groups beyond those that its requests need add nothing, so no model loses groups to another's
+  /// reserve. The fewer groups a model has, the more it gains by a further one.
+  static double Utility(const ModelNeed& need, int change)
   {
-    const double served = ServedPart(static_cast<double>(need.groups) + change, need.offeredLoad);
-    return need.offeredLoad * std::log(std::max(served, kLeastServed));
+    const double served =
+      ServedFraction(static_cast<double>(need.groups) + change, need.offeredLoad);
+    return need.offeredLoad * std::log(std::max(served, kMinServedFraction));
   }
 
-  /// \brief What all callers together gain, in groups, when `donor` gives up groups for `need`.
-  static double Gain(const ModelNeed& need, int formed, const ModelNeed& donor, int given)
+  /// \brief Total gain over both models, in groups, when `donor` releases groups for `need`.
+  static double Gain(const ModelNeed& need, int formed, const ModelNeed& donor, int released)
   {
-    return Value(need, formed) - Value(need, 0) + Value(donor, -given) - Value(donor, 0);
+    return Utility(need, formed) - Utility(need, 0) + Utility(donor, -released) - Utility(donor, 0);
   }
 
-  /// \brief Free targets of one domain and groups whose targets complete a group of another model.
+  /// \brief Free targets and serving groups of one domain that together form a group of another
+  /// model.
   struct Takeover
   {
-    Assembly assembly;
+    CandidateGroup candidate;
     std::vector<const ServingGroup*> groups;
   };
 
   /// \brief Which targets a takeover may use.
   enum class Members
   {
-    kWarm, ///< Those that hold the weights: the group can be formed at once.
-    kAny,  ///< Others, too, which load first.
+    kWarm, ///< Only those that hold the weights: the group can be formed at once.
+    kAny,  ///< Also those that have to load first.
   };
 
-  /// Idle targets that make a group of the model soonest; none where no domain has enough.
-  [[nodiscard]] std::optional<Assembly> FindAssembly(const GroupModel& model) const
+  /// Idle targets that can form a group of the model soonest; none when no domain has enough.
+  [[nodiscard]] std::optional<CandidateGroup> FindCandidate(const GroupModel& model) const
   {
-    std::optional<Assembly> best;
+    std::optional<CandidateGroup> best;
     for (const auto& [domain, pool] : m_pool) {
       Targets targets = ListUnassigned(pool);
       const Targets returning = ListUnassigned(ReturningTo(domain));
@@ -244,22 +247,22 @@
       if (targets.size() < model.size) {
         continue;
       }
-      Assembly assembly = MakeAssembly(domain, std::move(targets), model);
-      if (!best || IsSooner(assembly, *best)) {
-        best = std::move(assembly);
+      CandidateGroup candidate = MakeCandidate(domain, std::move(targets), model);
+      if (!best || IsReadySooner(candidate, *best)) {
+        best = std::move(candidate);
       }
     }
     return best;
   }
 
-  /// Free targets that lack the weights must not hide the members of serving groups that hold them:
-  /// seven warm targets and three cold ones waited 25 s for one load, beside small groups whose
-  /// members held the weights.
+  /// With Members::kWarm, free targets without the weights are left out, so that members of serving
+  /// groups that hold them are considered. Without this, seven warm and three cold free targets
+  /// waited 25 s for one load, while members of small groups in the domain held the weights.
   [[nodiscard]] std::optional<Takeover> FindTakeover(const ModelNeed& need, Members which)
   {
-    PlannedShortage& lack = LackOf(need);
+    PlannedShortage& shortage = ShortageOf(need);
     if (!m_input.mayTakeOver) {
-      lack.takeover = TakeoverVerdict::kLossesSettle;
+      shortage.takeover = TakeoverVerdict::kLossesSettle;
       return std::nullopt;
     }
     std::optional<Takeover> best;
@@ -275,16 +278,16 @@
       }
     }
     if (!best) {
-      lack.takeover =
-        lack.gain != 0 ? TakeoverVerdict::kTooLittleGain : TakeoverVerdict::kNoCandidate;
+      shortage.takeover =
+        shortage.gain != 0 ? TakeoverVerdict::kTooLittleGain : TakeoverVerdict::kNoCandidate;
     }
     return best;
   }
 
   static bool IsCheaper(const Takeover& left, const Takeover& right)
   {
-    return std::pair(left.groups.size(), left.assembly.toBegin) <
-           std::pair(right.groups.size(), right.assembly.toBegin);
+    return std::pair(left.groups.size(), left.candidate.toBegin) <
+           std::pair(right.groups.size(), right.candidate.toBegin);
   }
 
   [[nodiscard]] std::map<FabricDomainId, std::vector<const ServingGroup*>> GroupsByDomain(
@@ -299,7 +302,8 @@
     return groups;
   }
 
-  /// What is free in the domain, and as few groups of the donor as complete one of `need`.
+  /// Combines the free targets of the domain with the fewest groups of the donor that complete a
+  /// group of `need`.
   [[nodiscard]] std::optional<Takeover> Combine(const ModelNeed& need,
                                                 const ModelNeed& donor,
                                                 const FabricDomainId& domain,
@@ -308,10 +312,10 @@
   {
     const std::string& model = need.model->name;
     const std::size_t size = need.model->size;
-    // Those whose hosts hold the weights already come first.
+    // Groups with the most hosts that hold or are loading the weights come first.
     std::ranges::stable_sort(groups, std::greater{}, [&](const ServingGroup* group) {
       return std::ranges::count_if(
-        group->members, [&](const FreeTarget& member) { return IsComing(member, model); });
+        group->members, [&](const FreeTarget& member) { return HoldsOrLoads(member, model); });
     });
     Takeover takeover;
     Targets members;
@@ -334,29 +338,30 @@
         takeover.groups.push_back(group);
       }
     }
-    const int given = static_cast<int>(takeover.groups.size());
-    // A large group that is given up makes several small ones, the others in the next passes.
+    const int released = static_cast<int>(takeover.groups.size());
+    // A large group may provide targets for several small ones; later passes form the others.
     const int formed = static_cast<int>(members.size() / size);
-    if (formed == 0 || given == 0) {
+    if (formed == 0 || released == 0) {
       return std::nullopt;
     }
-    const double gain = Gain(need, formed, donor, given);
-    PlannedShortage& lack = LackOf(need);
-    lack.gain = lack.gain == 0 ? gain : std::max(lack.gain, gain);
-    if (gain < kLeastGain) {
+    const double gain = Gain(need, formed, donor, released);
+    PlannedShortage& shortage = ShortageOf(need);
+    shortage.gain = shortage.gain == 0 ? gain : std::max(shortage.gain, gain);
+    if (gain < kMinGain) {
       return std::nullopt;
     }
-    takeover.assembly = MakeAssembly(domain, std::move(members), *need.model);
-    takeover.assembly.takesOver = true;
+    takeover.candidate = MakeCandidate(domain, std::move(members), *need.model);
+    takeover.candidate.takesOver = true;
     return takeover;
   }
 
-  /// Closes the groups whose members hold the other model's weights.
-  void Release(ModelNeed& need, const Takeover& takeover)
+  /// Plans to close the donor's groups and to form a group of their members, which hold the
+  /// weights.
+  void PlanTakeover(ModelNeed& need, const Takeover& takeover)
   {
-    Reserve(takeover.assembly.fabricDomain, takeover.assembly.members);
+    Reserve(takeover.candidate.fabricDomain, takeover.candidate.members);
     PlannedTakeover planned{ { need.model->name, {}, 0 }, {} };
-    for (const FreeTarget* target : takeover.assembly.members) {
+    for (const FreeTarget* target : takeover.candidate.members) {
       planned.group.members.push_back(target->instance);
     }
     for (const ServingGroup* group : takeover.groups) {
@@ -366,32 +371,33 @@
     }
     m_plan.takeovers.push_back(std::move(planned));
     ++need.groups;
-    LackOf(need).takeover = TakeoverVerdict::kTaken;
+    ShortageOf(need).takeover = TakeoverVerdict::kTaken;
   }
 
-  /// Begins the loads that a group lacks. Members that serve go on serving; idle ones that hold the
-  /// weights are kept, for in a group of another model their hosts would lose them.
-  void BeginLoads(ModelNeed& need, const Assembly& assembly, LoadPurpose purpose)
+  /// Starts the loads that a group needs. Serving members continue to serve. Idle ones that hold or
+  /// load the weights are reserved: in a group of another model their hosts would lose them.
+  void BeginLoads(ModelNeed& need, const CandidateGroup& candidate, LoadPurpose purpose)
   {
     const std::string& model = need.model->name;
-    if (PlannedShortage& lack = LackOf(need); lack.fabricDomain.IsNone()) {
-      lack.fabricDomain = assembly.fabricDomain;
-      lack.loadsToBegin = static_cast<std::uint32_t>(assembly.toBegin);
-      lack.loadsUnderWay = static_cast<std::uint32_t>(assembly.underWay);
-    }
-    Targets bound;
-    for (const FreeTarget* target : assembly.members) {
-      // A model without any group comes before the loads that this slows down.
+    if (PlannedShortage& shortage = ShortageOf(need); shortage.fabricDomain.IsNone()) {
+      shortage.fabricDomain = candidate.fabricDomain;
+      shortage.loadsToBegin = static_cast<std::uint32_t>(candidate.toBegin);
+      shortage.loadsUnderWay = static_cast<std::uint32_t>(candidate.underWay);
+    }
+    Targets reserved;
+    for (const FreeTarget* target : candidate.members) {
+      // A model without any group may exceed the full-speed limit: it has priority over the loads
+      // that are slowed down.
       if (m_loadsAtFullSpeed > 0 || need.groups == 0) {
         Stage(*target, model, purpose);
       }
       m_assigned.insert(target->instance);
-      if (IsComing(*target, model) || m_staged.contains(target->instance)) {
-        bound.push_back(target);
+      if (HoldsOrLoads(*target, model) || m_staged.contains(target->instance)) {
+        reserved.push_back(target);
       }
     }
-    Reserve(assembly.fabricDomain, bound);
-    ++need.groups; // On its way.
+    Reserve(candidate.fabricDomain, reserved);
+    ++need.groups; // Counted already while its loads run.
   }
 
   [[nodiscard]] Targets ListUnassigned(const Targets& targets) const
@@ -409,7 +415,7 @@
     return found == m_returning.end() ? Targets() : found->second;
   }
 
-  /// Takes those of the members that are idle out of their domain's pool.
+  /// Removes the idle members from their domain's pool.
   void Reserve(const FabricDomainId& domain, const Targets& members)
   {
     if (const auto pool = m_pool.find(domain); pool != m_pool.end()) {
@@ -424,8 +430,8 @@
     for (const auto& [domain, targets] : m_pool) {
       std::map<std::string, std::size_t> spares;
       for (const ModelNeed& need : m_needs) {
-        spares[need.model->name] =
-          CountComing(targets, need.model->name) + CountSecondWeights(domain, need.model->name);
+        spares[need.model->name] = CountHoldingOrLoading(targets, need.model->name) +
+                                   CountSecondWeights(domain, need.model->name);
       }
       for (const FreeTarget* target : targets) {
         if (target->lastModel.empty() && !target->stagedModels.empty() && target->staging.empty()) {
@@ -433,9 +439,10 @@
           continue;
         }
         if (!target->lastModel.empty()) {
-          continue; // Its host takes others as second weights.
+          continue; // StageSecondWeights plans its host's loads.
         }
-        // Weights of another model are not dropped for this under load: they serve its groups.
+        // Under traffic, weights that a host already holds aren't replaced: a group of their model
+        // may need them.
         if (target->stagedModels.empty() || m_input.loadsAreCheap) {
           StageSpare(*target, spares);
         }
@@ -443,7 +450,8 @@
     }
   }
 
-  /// Members of a domain's groups of other models whose hosts hold this model's weights.
+  /// Counts members of the domain's groups of other models whose hosts hold or load this model's
+  /// weights.
   [[nodiscard]] std::size_t CountSecondWeights(const FabricDomainId& domain,
                                                const std::string& model) const
   {
@@ -451,14 +459,15 @@
     for (const ServingGroup& group : m_input.serving) {
       if (group.fabricDomain == domain && group.model != model) {
         count += static_cast<std::size_t>(std::ranges::count_if(
-          group.members, [&](const FreeTarget& member) { return IsComing(member, model); }));
+          group.members, [&](const FreeTarget& member) { return HoldsOrLoads(member, model); }));
       }
     }
     return count;
   }
 
-  /// Losses hit members, of whatever model. A spare of the same model takes a lost member's place
-  /// without using up its host's second weights, so spares are shared out as members are.
+  /// Distributes spares over the models in proportion to their members, as any member is equally
+  /// likely to be lost. A spare of the same model replaces a lost member without using up its
+  /// host's second weights.
   void StageSpare(const FreeTarget& target, std::map<std::string, std::size_t>& spares)
   {
     const auto worth = [&](const ModelNeed& need) {
@@ -466,27 +475,27 @@
       return members / static_cast<double>(spares[need.model->name] + 1);
     };
     const auto best = std::ranges::max_element(m_needs, std::less{}, worth);
-    if (best == m_needs.end() || IsComing(target, best->model->name)) {
+    if (best == m_needs.end() || HoldsOrLoads(target, best->model->name)) {
       return;
     }
     Stage(target, best->model->name, LoadPurpose::kSpare);
     ++spares[best->model->name];
   }
 
-  /// What no group waits for begins only while fewer loads than this began.
+  /// Limits the total number of loads in this plan to `most`, for loads that no group waits for.
   void LimitLoads(std::uint32_t most)
   {
     const auto begun = static_cast<std::uint32_t>(m_plan.stages.size());
     m_loadsLeft = std::min(m_loadsLeft, most - std::min(most, begun));
   }
 
-  /// A host may hold other weights than its target serves with, and a target joins another group of
-  /// the model it served last without them. So the host of each target takes the weights of the
-  /// largest other model: the target can then serve either within two seconds, where a load under
-  /// traffic takes 16 s. The next join of any group uses this up.
+  /// A host may hold other weights than those that its target serves with, and a target can join
+  /// another group of the model that it served last without the host's weights. Each host therefore
+  /// loads the weights of the largest other model. The target can then serve either model within
+  /// two seconds, while a load under traffic takes 16 s. Joining any group uses up these weights.
   void StageSecondWeights()
   {
-    // Idle targets first: without the other weights some serve nobody.
+    // Idle targets first: without the second weights some of them serve no requests.
     for (const auto& [domain, targets] : m_pool) {
       for (const FreeTarget* target : targets) {
         if (!target->lastModel.empty()) {
@@ -501,7 +510,7 @@
     }
   }
 
-  /// The largest model but this one.
+  /// Stages the weights of the largest model other than this one.
   void StageOther(const FreeTarget& target, const std::string& model)
   {
     const auto other = std::ranges::find_if(
@@ -513,7 +522,7 @@
 
   void Stage(const FreeTarget& target, const std::string& model, LoadPurpose purpose)
   {
-    if (IsComing(target, model) || !target.staging.empty() || m_loadsLeft == 0 ||
+    if (HoldsOrLoads(target, model) || !target.staging.empty() || m_loadsLeft == 0 ||
         !m_staged.insert(target.instance).second) {
       return;
     }
@@ -528,9 +537,10 @@
   std::vector<ModelNeed> m_needs; ///< The largest model first.
   std::uint32_t m_loadsLeft;
   std::uint32_t m_loadsAtFullSpeed;
-  std::set<InstanceId> m_staged;   ///< Told to load in this plan; a host loads one model at a time.
-  std::set<InstanceId> m_assigned; ///< Members of groups that wait for loads.
-  std::set<std::string> m_released; ///< Serving groups that end for a takeover.
+  /// Targets with a load in this plan; a host loads one model at a time.
+  std::set<InstanceId> m_staged;
+  std::set<InstanceId> m_assigned;  ///< Members of groups that wait for loads.
+  std::set<std::string> m_released; ///< Serving groups closed for a takeover.
   PoolPlan m_plan;
 };
 
@@ -578,7 +588,7 @@
 
 PoolPlan PlanPool(const PoolInput& input)
 {
-  return Planner(input).Run();
+  return PoolPlanner(input).Run();
 }
 
 } // namespace gooseberrysail
--- a/src/placement/preloads.cpp
+++ b/src/placement/preloads.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-/// Groups that have to load go first; at most this share of the store's budget is for spares.
+/// Largest share of the weight store's budget for spares; groups that have to load go first.
 constexpr double kBudgetShare = 0.5;
 
-/// \brief The model most worth a spare of this fabric domain: the most urgent, then the one with
-/// the most groups there. Models are sorted by urgency.
+/// \brief The model whose weights a spare of this fabric domain should hold: the one with the most
+/// urgent class, then the one with the most groups there. Models are sorted by urgency.
 Row ModelFor(const Fleet& fleet, const FleetFabric& fabric)
 {
   std::unordered_map<Row, std::size_t> groups;
@@ -38,15 +38,15 @@
 
 void Preloads::Observe(const Fleet& fleet)
 {
-  std::unordered_map<std::string_view, std::string> wished;
-  for (const PreloadWish& wish : m_wishes) {
-    wished.emplace(wish.vm.Get(), WeightsName(wish.entry, wish.modelVersion));
+  std::unordered_map<std::string_view, std::string> requested;
+  for (const PreloadRequest& request : m_requests) {
+    requested.emplace(request.vm.Get(), WeightsName(request.entry, request.modelVersion));
   }
-  for (std::size_t row = 0; row < fleet.vms.size() && !wished.empty() && !m_areGranted; ++row) {
+  for (std::size_t row = 0; row < fleet.vms.size() && !requested.empty() && !m_areGranted; ++row) {
     const VmView& view = *fleet.vms[row].view;
-    const auto found = wished.find(view.vm.Get());
+    const auto found = requested.find(view.vm.Get());
     m_areGranted =
-      found != wished.end() && view.group.IsNone() && view.loadedModel == found->second;
+      found != requested.end() && view.group.IsNone() && view.loadedModel == found->second;
   }
 }
 
@@ -55,11 +55,11 @@
   const auto most = static_cast<std::size_t>(
     std::min<double>(loadsLeft, std::max(1.0, kBudgetShare * fleet.policy->weightLoadsAtOnce)));
   std::unordered_set<std::string> before;
-  for (const PreloadWish& wish : m_wishes) {
-    before.insert(wish.vm.Get());
+  for (const PreloadRequest& request : m_requests) {
+    before.insert(request.vm.Get());
   }
-  std::vector<PreloadWish> kept;
-  std::vector<PreloadWish> fresh;
+  std::vector<PreloadRequest> kept;
+  std::vector<PreloadRequest> fresh;
   for (const FleetFabric& fabric : fleet.fabrics) {
     const Row model = fabric.available.empty() ? kNoRow : ModelFor(fleet, fabric);
     if (model == kNoRow) {
@@ -67,18 +67,20 @@
     }
     const FleetModel& target = fleet.models[model];
     for (const Row vm : fabric.available) {
-      if (!fleet.vms[vm].available || fleet.vms[vm].doubtful || fleet.HoldsWeights(vm, model)) {
+      if (!fleet.vms[vm].available || fleet.vms[vm].suspect || fleet.HoldsWeights(vm, model)) {
         continue;
       }
-      PreloadWish wish{ fleet.vms[vm].view->vm, target.view->entry, target.view->spec->version };
-      const bool isOld = before.contains(wish.vm.Get());
-      (isOld ? kept : fresh).push_back(std::move(wish));
+      PreloadRequest request{ fleet.vms[vm].view->vm,
+                              target.view->entry,
+                              target.view->spec->version };
+      const bool isOld = before.contains(request.vm.Get());
+      (isOld ? kept : fresh).push_back(std::move(request));
     }
   }
-  // A load that has begun is not given up for another one.
+  // Requests of the previous call come first, so that a running load isn't aborted for another.
   kept.insert(kept.end(), fresh.begin(), fresh.end());
   kept.resize(std::min(most, kept.size()));
-  m_wishes = std::move(kept);
+  m_requests = std::move(kept);
 }
 
 } // namespace gooseberrysail::impl
--- a/src/placement/preloads.hpp
+++ b/src/placement/preloads.hpp
@@ -8,23 +8,24 @@
 
 namespace gooseberrysail::impl {
 
-/// \brief Chooses spares that should load weights ahead of need, so that a repair need not.
+/// \brief Chooses spares that should load weights in advance, so that a repair needs no load.
 class Preloads
 {
 public:
-  /// \brief Notes which wishes came true.
+  /// \brief Records whether requests were carried out.
   void Observe(const Fleet& fleet);
 
-  /// \brief Chooses anew; a wish stays until its VM holds the weights or is no longer a spare.
-  /// \param loadsLeft Loads that groups leave of the weight store's budget.
+  /// \brief Updates the requests; one stays until its VM holds the weights or is no longer a spare.
+  /// \param loadsLeft What groups leave of the weight store's budget for loads.
   void Choose(const Fleet& fleet, std::uint32_t loadsLeft);
 
-  [[nodiscard]] const std::vector<PreloadWish>& Wishes() const noexcept { return m_wishes; }
-  /// \brief Whether wishes were ever granted: then a spare that was used is soon as good again.
+  [[nodiscard]] const std::vector<PreloadRequest>& Requests() const noexcept { return m_requests; }
+  /// \brief Whether a request was ever carried out. If so, the next spare will soon hold weights
+  /// after one has been used.
   [[nodiscard]] bool AreGranted() const noexcept { return m_areGranted; }
 
 private:
-  std::vector<PreloadWish> m_wishes;
+  std::vector<PreloadRequest> m_requests;
   bool m_areGranted = false;
 };
 
--- a/src/placement/repair.cpp
+++ b/src/placement/repair.cpp
@@ -12,16 +12,17 @@
 
 using namespace std::chrono_literals;
 
-/// While a fabric domain goes on losing VMs, nobody can tell how many it will be.
-constexpr Duration kCalmTime = 3s;
-/// A member that just came back is given this long to find its group again.
+/// While a fabric domain is still losing VMs, the size of the outage isn't known. VMs lost within
+/// this time count as such a loss.
+constexpr Duration kLossSettleTime = 3s;
+/// Time for a returned member to rejoin its group.
 constexpr Duration kReturnGrace = 15s;
-/// When all members are in reach of control, their own links get this long to heal.
-constexpr Duration kHealTime = 30s;
-/// A repair must save more than so many seconds of one group's downtime.
-constexpr double kLeastSavingSeconds = 10;
-/// A stand-in must save more than so many seconds of one group's downtime.
-constexpr double kLeastStandInSeconds = 15;
+/// Time for the links between members to recover when control reaches all of them.
+constexpr Duration kLinkRecoveryTime = 30s;
+/// A repair must save more than this many seconds of one group's downtime.
+constexpr double kMinSavingSeconds = 10;
+/// A substitute replica must save more than this many seconds of one group's downtime.
+constexpr double kMinSubstituteSavingSeconds = 15;
 
 bool JustReturned(const RepairInput& input, const FleetGroup& group)
 {
@@ -32,92 +33,93 @@
   });
 }
 
-bool MayGiveUp(const RepairInput& input, const FleetGroup& group)
+bool MayDissolve(const RepairInput& input, const FleetGroup& group)
 {
   if (group.model == kNoRow || group.ending || !group.broken) {
     return false;
   }
   if (group.missing.empty() && group.unknown == 0 &&
-      input.fleet.now - group.brokenSince < kHealTime) {
+      input.fleet.now - group.brokenSince < kLinkRecoveryTime) {
     return false;
   }
-  // Lost members aside, one that just came back shows that others may follow.
+  // When a member has just returned, others may follow.
   return !JustReturned(input, group);
 }
 
-/// Two VMs lost within the time it takes to notice a dark domain may be its beginning.
-bool GoesOnLosing(const RepairInput& input, const FleetFabric& fabric)
+/// Two VMs lost within kLossSettleTime may be the start of the loss of the whole domain.
+bool HasOngoingLosses(const RepairInput& input, const FleetFabric& fabric)
 {
   const auto lately = std::ranges::count_if(fabric.away, [&](Row vm) {
-    return input.fleet.now - input.history.At(vm).awaySince < kCalmTime;
+    return input.fleet.now - input.history.At(vm).awaySince < kLossSettleTime;
   });
   return lately > 1;
 }
 
-using Outlooks = std::vector<Outlook>;
-using Order = std::vector<Outlook*>;
+using GroupForecasts = std::vector<GroupForecast>;
+using Order = std::vector<GroupForecast*>;
 
-Outlooks ForeseeAll(const RepairInput& input, Row fabric)
+GroupForecasts ForecastAll(const RepairInput& input, Row fabric)
 {
-  Outlooks outlooks;
-  if (GoesOnLosing(input, input.fleet.fabrics[fabric])) {
-    return outlooks;
+  GroupForecasts forecasts;
+  if (HasOngoingLosses(input, input.fleet.fabrics[fabric])) {
+    return forecasts;
   }
   for (const Row row : input.fleet.fabrics[fabric].broken) {
-    if (MayGiveUp(input, input.fleet.groups[row])) {
-      outlooks.push_back(ForeseeGroup(input.fleet, input.history, input.loads, row));
+    if (MayDissolve(input, input.fleet.groups[row])) {
+      forecasts.push_back(ForecastGroup(input.fleet, input.history, input.loads, row));
     }
   }
-  return outlooks;
+  return forecasts;
 }
 
-/// Those with the worst prospects, and those with the most survivors, are given up first; the
-/// urgent model takes the VMs first.
-std::vector<Order> MakeOrders(const RepairInput& input, Outlooks& outlooks)
+/// Orders in which groups may be dissolved: by expected cost of waiting, by number of survivors,
+/// and by cost for each model alone.
+std::vector<Order> MakeOrders(const RepairInput& input, GroupForecasts& forecasts)
 {
-  Order byProspect;
-  for (Outlook& outlook : outlooks) {
-    byProspect.push_back(&outlook);
+  Order byCost;
+  for (GroupForecast& forecast : forecasts) {
+    byCost.push_back(&forecast);
   }
   std::ranges::sort(
-    byProspect, std::greater{}, [](const Outlook* outlook) { return CostOfWaiting(*outlook); });
-  Order bySurvivors = byProspect;
+    byCost, std::greater{}, [](const GroupForecast* forecast) { return CostOfWaiting(*forecast); });
+  Order bySurvivors = byCost;
   std::ranges::stable_sort(
-    bySurvivors, std::greater{}, [](const Outlook* outlook) { return outlook->survivors; });
-  std::vector<Order> orders{ byProspect, bySurvivors };
+    bySurvivors, std::greater{}, [](const GroupForecast* forecast) { return forecast->survivors; });
+  std::vector<Order> orders{ byCost, bySurvivors };
   for (Row model = 0; model < input.fleet.models.size(); ++model) {
-    const auto isOfModel = [&](const Outlook* outlook) {
-      return input.fleet.groups[outlook->group].model == model;
+    const auto isOfModel = [&](const GroupForecast* forecast) {
+      return input.fleet.groups[forecast->group].model == model;
     };
-    const auto count = static_cast<std::size_t>(std::ranges::count_if(byProspect, isOfModel));
-    if (count == 0 || count == byProspect.size()) {
+    const auto count = static_cast<std::size_t>(std::ranges::count_if(byCost, isOfModel));
+    if (count == 0 || count == byCost.size()) {
       continue;
     }
     Order order;
-    std::ranges::copy_if(byProspect, std::back_inserter(order), isOfModel);
+    std::ranges::copy_if(byCost, std::back_inserter(order), isOfModel);
     orders.push_back(std::move(order));
   }
   return orders;
 }
 
-double LeastGain(const Outlook& outlook, double seconds)
+double MinGain(const GroupForecast& forecast, double seconds)
 {
-  return outlook.rate * seconds;
+  return forecast.costPerSecond * seconds;
 }
 
 Repair ChooseRepair(const RepairInput& input, Row fabric)
 {
   Repair best;
-  Outlooks outlooks = ForeseeAll(input, fabric);
-  for (const Order& order : MakeOrders(input, outlooks)) {
+  GroupForecasts forecasts = ForecastAll(input, fabric);
+  for (const Order& order : MakeOrders(input, forecasts)) {
     for (std::size_t count = 1; count <= order.size(); ++count) {
       Order chosen(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(count));
-      std::ranges::stable_sort(chosen, std::less{}, [&](const Outlook* outlook) {
-        return input.fleet.groups[outlook->group].model;
+      // Models are sorted by urgency: groups of the most urgent model get the VMs first.
+      std::ranges::stable_sort(chosen, std::less{}, [&](const GroupForecast* forecast) {
+        return input.fleet.groups[forecast->group].model;
       });
-      Repair repair = WeighRepair(input, fabric, chosen);
+      Repair repair = EvaluateRepair(input, fabric, chosen);
       if (repair.formed > 0 && repair.gain > best.gain &&
-          repair.saving > LeastGain(*chosen.front(), kLeastSavingSeconds)) {
+          repair.saving > MinGain(*chosen.front(), kMinSavingSeconds)) {
         best = std::move(repair);
       }
     }
@@ -125,7 +127,7 @@
   return best;
 }
 
-/// Replicas beyond those wanted: stand-ins that earlier calls formed.
+/// Replicas beyond those wanted: substitutes formed by earlier calls.
 std::vector<std::uint32_t> CountSurplus(const Fleet& fleet)
 {
   std::vector<std::uint32_t> surplus;
@@ -143,7 +145,7 @@
 {
   std::vector<Repair> repairs;
   for (Row fabric = 0; fabric < input.fleet.fabrics.size(); ++fabric) {
-    if (input.fleet.fabrics[fabric].broken.empty() || IsUnsettled(input.fleet, fabric)) {
+    if (input.fleet.fabrics[fabric].broken.empty() || HasPendingRelease(input.fleet, fabric)) {
       continue;
     }
     Repair repair = ChooseRepair(input, fabric);
@@ -163,22 +165,22 @@
   return repairs;
 }
 
-std::vector<std::uint32_t> CountStandIns(const RepairInput& input)
+std::vector<std::uint32_t> CountSubstitutes(const RepairInput& input)
 {
   const Fleet& fleet = input.fleet;
   std::vector<std::uint32_t> counts(fleet.models.size(), 0);
-  std::vector<Outlook> outlooks;
+  std::vector<GroupForecast> forecasts;
   for (const FleetFabric& fabric : fleet.fabrics) {
-    if (fabric.isReleasing || GoesOnLosing(input, fabric)) {
+    if (fabric.isReleasing || HasOngoingLosses(input, fabric)) {
       continue;
     }
     for (const Row row : fabric.broken) {
-      if (MayGiveUp(input, fleet.groups[row])) {
-        outlooks.push_back(ForeseeGroup(fleet, input.history, input.loads, row));
+      if (MayDissolve(input, fleet.groups[row])) {
+        forecasts.push_back(ForecastGroup(fleet, input.history, input.loads, row));
       }
     }
   }
-  if (outlooks.empty()) {
+  if (forecasts.empty()) {
     return counts;
   }
   std::vector<std::size_t> spares;
@@ -186,14 +188,14 @@
     spares.push_back(fleet.fabrics[fabric].isReleasing ? 0
                                                        : fleet.fabrics[fabric].available.size());
   }
-  std::ranges::stable_sort(outlooks, [&](const Outlook& left, const Outlook& right) {
+  std::ranges::stable_sort(forecasts, [&](const GroupForecast& left, const GroupForecast& right) {
     return std::tuple(fleet.groups[left.group].model, CostOfWaiting(right)) <
            std::tuple(fleet.groups[right.group].model, CostOfWaiting(left));
   });
   std::vector<std::uint32_t> covered = CountSurplus(fleet);
   counts = covered;
-  for (const Outlook& outlook : outlooks) {
-    const Row model = fleet.groups[outlook.group].model;
+  for (const GroupForecast& forecast : forecasts) {
+    const Row model = fleet.groups[forecast.group].model;
     if (covered[model] > 0) {
       --covered[model];
       continue;
@@ -206,9 +208,10 @@
     const auto fabric = static_cast<Row>(most - spares.begin());
     const double load = input.loads.LoadSeconds(fleet.models[model].view->entry);
     const double limit = StepTimes().back();
-    const double saved = ExpectedDown(outlook, limit) - ExpectedDown(outlook, load);
-    const double gain = outlook.rate * saved - PriceOfUse(input, fabric, size, outlook);
-    if (gain > LeastGain(outlook, kLeastStandInSeconds)) {
+    const double saved = ExpectedDown(forecast, limit) - ExpectedDown(forecast, load);
+    const double gain =
+      forecast.costPerSecond * saved - SpareUseCost(input, fabric, size, forecast);
+    if (gain > MinGain(forecast, kMinSubstituteSavingSeconds)) {
       *most -= size;
       ++counts[model];
     }
--- a/src/placement/repair.hpp
+++ b/src/placement/repair.hpp
@@ -7,33 +7,33 @@
 
 namespace gooseberrysail::impl {
 
-/// \brief All that a choice between repairs may rest on.
+/// \brief Input for the choice of repairs.
 struct RepairInput
 {
   const Fleet& fleet;
   const History& history;
   const WeightLoads& loads;
-  std::uint32_t loadsLeft = 0;  ///< Groups that may begin to load now.
-  bool areSparesLoaded = false; ///< Spares load weights ahead of need.
+  std::uint32_t loadsLeft = 0;  ///< Groups that may start to load now.
+  bool areSparesLoaded = false; ///< Spares load weights in advance.
 };
 
-/// \brief Groups of one fabric domain to give up together, so that their survivors, with spares,
-/// make up new whole groups.
+/// \brief Groups of one fabric domain to dissolve together, so that new groups can be formed of
+/// their survivors and spares.
 struct Repair
 {
   std::vector<Row> dissolve;
-  std::uint32_t formed = 0; ///< Whole groups that come of it at once.
-  std::uint32_t loads = 0;  ///< Those of them that have to load weights.
+  std::uint32_t formed = 0; ///< Groups that can be formed at once.
+  std::uint32_t loads = 0;  ///< How many of these have to load weights.
   std::size_t spares = 0;   ///< Free VMs used up.
-  double gain = 0;          ///< Expected cost saved against doing it later, if at all.
-  double saving = 0;        ///< Expected cost saved against waiting for good.
+  double gain = 0;          ///< Expected cost saved compared with a later repair or none.
+  double saving = 0;        ///< Expected cost saved compared with waiting indefinitely.
 };
 
-/// \brief The repairs whose expected gain is worth it, at most one for each fabric domain.
+/// \brief Returns the repairs with sufficient expected gain, at most one per fabric domain.
 [[nodiscard]] std::vector<Repair> ChooseRepairs(const RepairInput& input);
 
-/// \brief How many replicas each model should form beyond those wanted, to stand in for broken
-/// groups that are better left to wait for their members.
-[[nodiscard]] std::vector<std::uint32_t> CountStandIns(const RepairInput& input);
+/// \brief Number of replicas to form beyond those wanted, by model row, as substitutes for broken
+/// groups that should wait for their members.
+[[nodiscard]] std::vector<std::uint32_t> CountSubstitutes(const RepairInput& input);
 
 } // namespace gooseberrysail::impl
--- a/src/placement/retirement.cpp
+++ b/src/placement/retirement.cpp
@@ -12,16 +12,16 @@
 
 using namespace std::chrono_literals;
 
-/// Load reports come late: a straggler counts as one once it was slow for this long.
+/// Load reports are delayed, so a VM must have been slow for this long to count as a straggler.
 constexpr Duration kStragglerTime = 60s;
-/// Spares that must be left before one is used against a mere straggler.
+/// A straggler is replaced only when more spares than this are available.
 constexpr std::size_t kSparesBesidesStraggler = 1;
-/// A group that takes so many times the usual load is stuck.
+/// A group is stuck when it has been loading for this many times the usual load time.
 constexpr double kStuckFactor = 10;
-constexpr double kLeastStuckSeconds = 600;
+constexpr double kMinStuckSeconds = 600;
 
-/// A broken group has nothing to finish, so it is given up instead of drained.
-void End(FleetGroup& group, std::string reason, std::vector<PlannerAction>& actions)
+/// A broken group has no requests to finish, so it is dissolved instead of drained.
+void EndGroup(FleetGroup& group, std::string reason, std::vector<PlannerAction>& actions)
 {
   group.ending = true;
   if (group.broken) {
@@ -64,21 +64,21 @@
       continue;
     }
     if (group.model == kNoRow) {
-      End(group, "the catalogue no longer has the model", actions);
+      EndGroup(group, "the catalogue no longer has the model", actions);
     } else if (group.leaving) {
-      End(group, "a member leaves", actions);
+      EndGroup(group, "a member leaves", actions);
     }
   }
 }
 
-/// Broken groups stay while replicas are down, even beyond those wanted: a stand-in may be slower
-/// to serve than they are to come back. Of those that aren't broken the ones go first that do
-/// least for the callers, then the youngest.
+/// Broken groups stay while fewer replicas than wanted serve, even if there are more than wanted:
+/// one of them may recover before its substitute serves. Of the groups that aren't broken, those
+/// that don't serve end first, then those that aren't current, then the youngest.
 void RetireSurplus(Fleet& fleet, const FleetModel& model, std::vector<PlannerAction>& actions)
 {
   if (CountServing(fleet, model) >= model.Wanted()) {
     for (const Row row : Select(fleet, model, [](const FleetGroup& g) { return g.broken; })) {
-      End(fleet.groups[row], "enough replicas serve without it", actions);
+      EndGroup(fleet.groups[row], "enough replicas serve without it", actions);
     }
   }
   std::vector<Row> whole = Select(fleet, model, [](const FleetGroup& g) { return !g.broken; });
@@ -96,9 +96,9 @@
   const std::size_t surplus = whole.size() - model.Wanted();
   for (std::size_t index = 0; index < surplus; ++index) {
     FleetGroup& group = fleet.groups[whole[index]];
-    // During a rollout this is the new version's group that an old one waits for.
+    // During a rollout this is a group of the new version that has to serve before an old one ends.
     if (!(isRollout && group.current && Loads(group))) {
-      End(group, "more replicas than wanted", actions);
+      EndGroup(group, "more replicas than wanted", actions);
     }
   }
 }
@@ -110,9 +110,9 @@
   });
 }
 
-/// A new version may never take a model out of service by itself: each step waits until the
-/// groups formed before serve again, so a version that doesn't load stops the rollout by itself.
-/// \returns Replicas to form before an old one goes: a model of few replicas can spare none.
+/// A new version must not take a model out of service: each step waits until the groups formed
+/// before it serve, so a version that fails to load stops the rollout.
+/// \returns Replicas to form before an old one ends, as a model with few replicas can't spare one.
 std::uint32_t RollOut(Fleet& fleet,
                       const FleetModel& model,
                       std::uint32_t loadsLeft,
@@ -137,7 +137,7 @@
     if (allowed == 0) {
       break;
     }
-    End(fleet.groups[row], "the catalogue has another version or size", actions);
+    EndGroup(fleet.groups[row], "the catalogue has another version or size", actions);
     --allowed;
   }
   return 0;
@@ -151,8 +151,8 @@
   });
 }
 
-/// One group of a model at a time, and none while one is down: replacing a member costs a load,
-/// and a straggler still does some work.
+/// Ends one group of a model at a time, and none while fewer replicas than wanted serve: replacing
+/// a member costs a load, and a straggler still does some work.
 void RetireStraggler(Fleet& fleet,
                      const History& history,
                      const FleetModel& model,
@@ -165,7 +165,7 @@
     FleetGroup& group = fleet.groups[row];
     if (Serves(group) && HasStraggler(fleet, history, group) &&
         CountSpares(fleet, group.fabric) > kSparesBesidesStraggler) {
-      End(group, "a member straggles", actions);
+      EndGroup(group, "a member straggles", actions);
       return;
     }
   }
@@ -179,7 +179,7 @@
       continue;
     }
     const double usual = loads.LoadSeconds(group.view->entry);
-    const double limit = std::max(kLeastStuckSeconds, kStuckFactor * usual);
+    const double limit = std::max(kMinStuckSeconds, kStuckFactor * usual);
     if (loads.SecondsLoading(fleet, group) > limit) {
       group.ending = true;
       result.stuck.push_back(row);
@@ -189,9 +189,10 @@
   }
 }
 
-/// Symptom without this: a failure domain comes back empty, all its groups load at once, each at
-/// a small share of the weight store's rate, and the first serves only when the last does. Those
-/// given up are formed again as the budget allows, so that half of them serve in half the time.
+/// When a failure domain returns without weights, all its groups would load at once, each at a
+/// small share of the weight store's rate, and the first would serve only when the last does. The
+/// groups dissolved here are formed again as the budget allows, so that half of them serve in half
+/// the time.
 void RetireExcessLoads(Fleet& fleet, const WeightLoads& loads, std::vector<PlannerAction>& actions)
 {
   const std::uint32_t budget = std::max(1U, fleet.policy->weightLoadsAtOnce);
@@ -199,7 +200,7 @@
     return;
   }
   std::size_t excess = loads.CountRunning() - budget;
-  for (const Row row : loads.BegunLately(fleet)) {
+  for (const Row row : loads.RecentlyBegun(fleet)) {
     if (excess == 0) {
       return;
     }
--- a/src/placement/retirement.hpp
+++ b/src/placement/retirement.hpp
@@ -7,21 +7,22 @@
 
 namespace gooseberrysail::impl {
 
-/// \brief Largest share of a model's wanted replicas that a new version may take out at once.
+/// \brief Largest share of a model's wanted replicas that a rollout may take out of service at
+/// once.
 inline constexpr double kRolloutShare = 0.1;
 
 struct Retirement
 {
   std::vector<PlannerAction> actions;
-  /// Replicas to form beyond those wanted, by model row, before an old one may go.
+  /// Replicas to form beyond those wanted, by model row, before an old one may end.
   std::vector<std::uint32_t> surge;
-  std::vector<Row> stuck; ///< Groups that never began to serve.
+  std::vector<Row> stuck; ///< Groups that never started to serve.
 };
 
-/// \brief Ends groups that the catalogue no longer wants: members that leave, models and versions
-/// that were replaced, replicas beyond those wanted; and those that a straggler holds up or that
-/// never begin to serve.
-/// \remarks Groups told to end are marked as ending in `fleet`.
+/// \brief Ends groups with a draining member, of a removed model or a replaced version, or beyond
+/// the wanted replicas. Also ends groups slowed down by a straggler, groups that never start to
+/// serve, and recent loads in excess of the weight store's budget.
+/// \remarks Marks these groups as ending in `fleet`.
 [[nodiscard]] Retirement RetireGroups(Fleet& fleet,
                                       const History& history,
                                       const WeightLoads& loads);
--- a/src/placement/return_times.cpp
+++ b/src/placement/return_times.cpp
@@ -9,7 +9,7 @@
 
 constexpr double kFirstBucketSeconds = 1;
 
-/// The first bucket ends at 1 s, each next one at twice the age; the last one never ends.
+/// The first bucket ends at 1 s and each further one at twice the age; the last one has no end.
 std::size_t BucketOf(double age) noexcept
 {
   if (age < kFirstBucketSeconds) {
@@ -26,7 +26,7 @@
 
 } // namespace
 
-void ReturnTimes::Assume(const OutageKind& kind, double outages) noexcept
+void ReturnTimes::AddPrior(const OutageKind& kind, double outages) noexcept
 {
   const auto still = [&](double age) { return std::exp(-age / kind.meanSeconds); };
   for (std::size_t index = 0; index < kBuckets; ++index) {
@@ -62,22 +62,23 @@
   for (std::size_t index = 0; index < kBuckets; ++index) {
     Bucket& bucket = m_buckets[index];
     bucket.hazard = bucket.returns / std::max(bucket.away, 1e-9);
-    bucket.hazardBefore = sum;
+    bucket.cumulativeHazard = sum;
     if (index + 1 < kBuckets) {
       sum += bucket.hazard * (BucketStart(index + 1) - BucketStart(index));
     }
   }
 }
 
-double ReturnTimes::SumOfHazard(double age) const noexcept
+double ReturnTimes::CumulativeHazard(double age) const noexcept
 {
   const std::size_t bucket = BucketOf(age);
-  return m_buckets[bucket].hazardBefore + m_buckets[bucket].hazard * (age - BucketStart(bucket));
+  return m_buckets[bucket].cumulativeHazard +
+         m_buckets[bucket].hazard * (age - BucketStart(bucket));
 }
 
 double ReturnTimes::StillAway(double age, double wait) const noexcept
 {
-  return std::exp(SumOfHazard(age) - SumOfHazard(age + wait));
+  return std::exp(CumulativeHazard(age) - CumulativeHazard(age + wait));
 }
 
 double ReturnTimes::KeepsWeights(double age) const noexcept
--- a/src/placement/rows.hpp
+++ b/src/placement/rows.hpp
@@ -5,7 +5,7 @@
 
 namespace gooseberrysail::impl {
 
-/// \brief Row numbers in the planner's tables.
+/// \brief Row number in one of the planner's tables.
 using Row = std::uint32_t;
 inline constexpr Row kNoRow = std::numeric_limits<Row>::max();
 
--- a/src/placement/weight_loads.cpp
+++ b/src/placement/weight_loads.cpp
@@ -11,18 +11,18 @@
 
 namespace {
 
-/// Assumed for a model that no group was seen to load yet.
-constexpr double kAssumedLoadSeconds = 120;
-/// A group first seen to start within this time was formed for it.
-constexpr Duration kNewTime = std::chrono::seconds(10);
-/// A load that began within this time has cost the store little yet.
-constexpr Duration kLatelyTime = std::chrono::seconds(10);
-/// How much the latest load counts against those before.
-constexpr double kLatestShare = 0.3;
-
-void Learn(double& estimate, double sample)
+/// Assumed load time of a model for which no load was observed yet.
+constexpr double kDefaultLoadSeconds = 120;
+/// A group first observed to start within this time after its formation is a new group.
+constexpr Duration kNewGroupTime = std::chrono::seconds(10);
+/// A load that started within this time has used little of the store's capacity yet.
+constexpr Duration kRecentTime = std::chrono::seconds(10);
+/// Weight of the latest sample in the exponential moving average.
+constexpr double kSmoothingFactor = 0.3;
+
+void UpdateEstimate(double& estimate, double sample)
 {
-  estimate += kLatestShare * (sample - estimate);
+  estimate += kSmoothingFactor * (sample - estimate);
 }
 
 } // namespace
@@ -43,7 +43,7 @@
   for (const FleetGroup& group : fleet.groups) {
     const bool isStarting = !group.view->serving && !group.broken && !group.ending;
     if (isStarting) {
-      NoteStart(fleet, group);
+      RecordStart(fleet, group);
       continue;
     }
     const auto found = m_starts.empty() ? m_starts.end() : m_starts.find(group.view->group.Get());
@@ -51,7 +51,7 @@
       continue;
     }
     if (group.view->serving) {
-      NoteServing(fleet, group, found->second);
+      RecordServing(fleet, group, found->second);
     }
     m_starts.erase(found);
   }
@@ -59,29 +59,29 @@
   std::erase_if(m_starts, [](const auto& entry) { return !entry.second.isSeen; });
 }
 
-void WeightLoads::NoteStart(const Fleet& fleet, const FleetGroup& group)
+void WeightLoads::RecordStart(const Fleet& fleet, const FleetGroup& group)
 {
   const bool isLoad = NeedsLoad(fleet, group);
   const auto [found, isFirst] = m_starts.try_emplace(group.view->group.Get(), Start{ fleet.now });
   if (isFirst) {
-    found->second.isNew = fleet.now - group.view->formedAt < kNewTime;
-    found->second.isTimed = m_lastCall && fleet.now - *m_lastCall < kLatelyTime;
+    found->second.isNew = fleet.now - group.view->formedAt < kNewGroupTime;
+    found->second.isStartObserved = m_lastCall && fleet.now - *m_lastCall < kRecentTime;
   }
   found->second.isLoad = found->second.isLoad || isLoad;
   found->second.isSeen = true;
   m_running += isLoad ? 1 : 0;
 }
 
-void WeightLoads::NoteServing(const Fleet& fleet, const FleetGroup& group, const Start& start)
+void WeightLoads::RecordServing(const Fleet& fleet, const FleetGroup& group, const Start& start)
 {
   const double sample = ToSeconds(fleet.now - start.at);
   if (!start.isLoad) {
-    Learn(start.isNew ? m_formSeconds : m_resumeSeconds, sample);
+    UpdateEstimate(start.isNew ? m_formSeconds : m_resumeSeconds, sample);
     return;
   }
   double& estimate =
-    m_loadSeconds.try_emplace(group.view->entry.Get(), kAssumedLoadSeconds).first->second;
-  Learn(estimate, sample);
+    m_loadSeconds.try_emplace(group.view->entry.Get(), kDefaultLoadSeconds).first->second;
+  UpdateEstimate(estimate, sample);
 }
 
 std::uint32_t WeightLoads::CountLeft(const PolicySpec& policy) const noexcept
@@ -89,7 +89,7 @@
   return policy.weightLoadsAtOnce - std::min(policy.weightLoadsAtOnce, m_running);
 }
 
-std::vector<Row> WeightLoads::BegunLately(const Fleet& fleet) const
+std::vector<Row> WeightLoads::RecentlyBegun(const Fleet& fleet) const
 {
   std::vector<std::pair<TimePoint, Row>> begun;
   for (Row row = 0; row < fleet.groups.size(); ++row) {
@@ -99,7 +99,7 @@
       continue;
     }
     const Start& start = found->second;
-    if (start.isLoad && start.isTimed && fleet.now - start.at < kLatelyTime) {
+    if (start.isLoad && start.isStartObserved && fleet.now - start.at < kRecentTime) {
       begun.emplace_back(start.at, row);
     }
   }
@@ -119,7 +119,7 @@
 double WeightLoads::LoadSeconds(const EntryName& entry) const
 {
   const auto found = m_loadSeconds.find(entry.Get());
-  return found == m_loadSeconds.end() ? kAssumedLoadSeconds : found->second;
+  return found == m_loadSeconds.end() ? kDefaultLoadSeconds : found->second;
 }
 
 } // namespace gooseberrysail::impl
--- a/src/placement/weight_loads.hpp
+++ b/src/placement/weight_loads.hpp
@@ -9,26 +9,26 @@
 
 namespace gooseberrysail::impl {
 
-/// \brief Learns how long groups need to begin serving, and keeps to the weight store's budget.
+/// \brief Estimates how long groups take to start serving, and tracks the weight store's budget.
 class WeightLoads
 {
 public:
-  /// \brief Notes which groups load and which have begun to serve.
+  /// \brief Records which groups load and which have started to serve.
   void Observe(const Fleet& fleet);
 
-  /// \brief Groups that load now.
+  /// \brief Number of groups that load now.
   [[nodiscard]] std::uint32_t CountRunning() const noexcept { return m_running; }
-  /// \brief Groups that may begin to load within the policy's budget.
+  /// \brief Number of further groups that may load within the policy's budget.
   [[nodiscard]] std::uint32_t CountLeft(const PolicySpec& policy) const noexcept;
-  /// \brief For how long a group that doesn't serve yet was seen to start.
+  /// \brief Seconds since a group that doesn't serve yet was first observed to start.
   [[nodiscard]] double SecondsLoading(const Fleet& fleet, const FleetGroup& group) const;
-  /// \brief Groups seen to begin a load within the last seconds, the latest first.
-  [[nodiscard]] std::vector<Row> BegunLately(const Fleet& fleet) const;
-  /// \brief Expected seconds from forming a group to serving, when a member lacks the weights.
+  /// \brief Groups whose load was observed to start within the last seconds, the latest first.
+  [[nodiscard]] std::vector<Row> RecentlyBegun(const Fleet& fleet) const;
+  /// \brief Expected seconds from forming a group to serving when a member lacks the weights.
   [[nodiscard]] double LoadSeconds(const EntryName& entry) const;
-  /// \brief The same when all members hold the weights.
+  /// \brief Expected seconds from forming a group to serving when all members hold the weights.
   [[nodiscard]] double FormSeconds() const noexcept { return m_formSeconds; }
-  /// \brief Expected seconds until a group serves again whose members are back with weights.
+  /// \brief Expected seconds until a group serves again after its members returned with weights.
   [[nodiscard]] double ResumeSeconds() const noexcept { return m_resumeSeconds; }
 
 private:
@@ -36,13 +36,13 @@
   {
     TimePoint at{};
     bool isLoad = false;
-    bool isNew = false;   ///< Formed just now, not broken before.
-    bool isSeen = false;  ///< In the latest input.
-    bool isTimed = false; ///< Its beginning was seen, too.
+    bool isNew = false;           ///< First start after formation, not after an outage.
+    bool isSeen = false;          ///< In the latest input.
+    bool isStartObserved = false; ///< The start itself was observed.
   };
 
-  void NoteStart(const Fleet& fleet, const FleetGroup& group);
-  void NoteServing(const Fleet& fleet, const FleetGroup& group, const Start& start);
+  void RecordStart(const Fleet& fleet, const FleetGroup& group);
+  void RecordServing(const Fleet& fleet, const FleetGroup& group, const Start& start);
 
   std::unordered_map<std::uint64_t, Start> m_starts;     ///< By group.
   std::unordered_map<std::string, double> m_loadSeconds; ///< By entry.
--- a/tests/fakes/placement_replay.cpp
+++ b/tests/fakes/placement_replay.cpp
@@ -14,15 +14,15 @@
 
 constexpr double kDaySeconds = 86400;
 constexpr double kNever = std::numeric_limits<double>::infinity();
-constexpr double kLogDelay = 0.2;     ///< From a decision to the command in force.
-constexpr double kReleaseDelay = 0.5; ///< From giving up a group to a survivor's release.
-constexpr double kLease = 5;          ///< After that a lost member's lease has ended.
+constexpr double kLogDelay = 0.2;     ///< From a planner action until its command is applied.
+constexpr double kReleaseDelay = 0.5; ///< From dissolving a group until a survivor is free.
+constexpr double kLeaseTime = 5;      ///< After that a lost member's lease has expired.
 constexpr double kDrainTime = 20;     ///< Until a drained group is idle.
-constexpr double kResume = 2;         ///< Until a group serves whose members are back.
-constexpr double kReturnDelay = 1;    ///< From a VM's return until control hears it.
+constexpr double kResumeTime = 2;     ///< Until a group serves again after its members return.
+constexpr double kReturnDelay = 1;    ///< From a VM's return until control detects it.
 
-/// How often the planner runs: each second while something has just changed; later less often,
-/// or a month of 7,200 VMs would take a day to replay.
+/// Interval between calls of the planner: a second shortly after a change, longer later. With one
+/// call per second throughout, the replay of a month of 7,200 VMs would take a day.
 double PlanInterval(double sinceChange)
 {
   if (sinceChange < 15) {
@@ -41,20 +41,20 @@
   std::vector<VmId> members;
   bool isEnding = false;
   bool isServing = false;
-  bool isNew = true; ///< Never served or broke yet.
+  bool isNew = true; ///< Has neither served nor been broken yet.
   bool isLoading = false;
   double loadLeft = 0;
   double servesAt = kNever; ///< When a warm start ends.
   double formedAt = 0;
-  double brokenAt = kNever; ///< When control notices a missing member.
+  double brokenAt = kNever; ///< When control detected a missing member.
   double endsAt = kNever;   ///< When a drained group is idle.
 };
 
 struct Vm
 {
-  int outages = 0; ///< Overlapping ones.
+  int outages = 0; ///< Number of current, overlapping outages.
   bool losesWeights = false;
-  double seenAt = kNever; ///< When control notices the latest change.
+  double seenAt = kNever; ///< When control detects the latest change.
   double freeAt = kNever;
   std::uint64_t group = 0;
 };
@@ -81,7 +81,7 @@
 
   ReplayResult Run()
   {
-    StartWhole();
+    FormInitialGroups();
     const double end = m_fleet.days * kDaySeconds;
     while (m_now < end) {
       const double next = std::min(NextTime(), end);
@@ -135,12 +135,12 @@
     m_vms.resize(m_views.size());
   }
 
-  /// The replay begins with all wanted groups serving.
-  void StartWhole()
+  /// Starts the replay with all wanted groups serving.
+  void FormInitialGroups()
   {
     std::vector<std::uint32_t> nextVm(m_fleet.CountFabrics(), 0);
-    for (std::uint32_t made = 0; made < m_fleet.replicas; ++made) {
-      const std::uint32_t fabric = made % m_fleet.CountFabrics();
+    for (std::uint32_t replica = 0; replica < m_fleet.replicas; ++replica) {
+      const std::uint32_t fabric = replica % m_fleet.CountFabrics();
       std::vector<std::uint32_t> vms;
       for (int member = 0; member < 4; ++member) {
         vms.push_back(fabric * m_fleet.vmsPerFabric + nextVm[fabric]++);
@@ -150,7 +150,7 @@
       group.isServing = true;
       group.servesAt = 0;
     }
-    CountAll();
+    InitialiseCounts();
   }
 
   Group& AddGroup(std::vector<std::uint32_t> vms)
@@ -165,7 +165,7 @@
       m_views[vm].group = GroupId(group.id);
     }
     ++m_result.formed;
-    Touch(group.id);
+    Activate(group.id);
     return group;
   }
 
@@ -231,12 +231,12 @@
       vm.losesWeights = vm.losesWeights || (change.isLoss && !change.outage->keepsWeights);
       if (wasUp != (vm.outages == 0)) {
         m_healthy += vm.outages == 0 ? 1 : -1;
-        Notice(change.outage->vm, wasUp);
+        ScheduleNotice(change.outage->vm, wasUp);
       }
     }
   }
 
-  void Notice(std::uint32_t row, bool isLoss)
+  void ScheduleNotice(std::uint32_t row, bool isLoss)
   {
     Vm& vm = m_vms[row];
     const double delay =
@@ -247,13 +247,13 @@
     if (isLoss) {
       m_views[row].lastHeard = ToTime(m_now);
     } else if (vm.losesWeights) {
-      // It lost them when it went down, seen or not.
+      // The weights were lost in the outage, whether or not control detected it.
       m_views[row].loadedModel.clear();
       vm.losesWeights = false;
     }
     if (vm.group != 0) {
-      Touch(vm.group);
-      Check(m_groups.at(vm.group));
+      Activate(vm.group);
+      UpdateGroup(m_groups.at(vm.group));
     }
   }
 
@@ -274,8 +274,8 @@
       m_changedAt = m_now;
       m_planAt = std::min(m_planAt, m_lastPlan + 1);
       if (vm.group != 0) {
-        Touch(vm.group);
-        Check(m_groups.at(vm.group));
+        Activate(vm.group);
+        UpdateGroup(m_groups.at(vm.group));
       }
     }
   }
@@ -290,7 +290,7 @@
     const bool isHeld =
       std::ranges::any_of(group.vms, [&](std::uint32_t other) { return m_vms[other].group == id; });
     if (!isHeld) {
-      Untouch(id);
+      Deactivate(id);
       m_groups.erase(id);
     }
   }
@@ -301,8 +301,8 @@
       group.vms, [&](std::uint32_t vm) { return m_views[vm].loadedModel == kWeights; });
   }
 
-  /// Brings a group's state in line with its members'.
-  void Check(Group& group)
+  /// Updates a group's state from its members.
+  void UpdateGroup(Group& group)
   {
     const bool isWhole = std::ranges::all_of(group.vms, [&](std::uint32_t vm) { return IsUp(vm); });
     const bool isSeenWhole =
@@ -328,7 +328,7 @@
       return;
     }
     if (HoldsAll(group)) {
-      group.servesAt = m_now + (group.isNew ? m_fleet.formSeconds : kResume);
+      group.servesAt = m_now + (group.isNew ? m_fleet.formSeconds : kResumeTime);
     } else {
       group.isLoading = true;
       group.loadLeft = m_fleet.loadSeconds;
@@ -365,15 +365,15 @@
 
   void GrantPreloads()
   {
-    std::map<std::uint32_t, double> wished;
-    for (const PreloadWish& wish : m_planner.Preloads()) {
-      const std::uint32_t vm = m_rows.at(wish.vm.Get());
+    std::map<std::uint32_t, double> requested;
+    for (const PreloadRequest& request : m_planner.Preloads()) {
+      const std::uint32_t vm = m_rows.at(request.vm.Get());
       const auto found = m_preloads.find(vm);
       if (IsUp(vm)) {
-        wished[vm] = found == m_preloads.end() ? m_fleet.loadSeconds : found->second;
+        requested[vm] = found == m_preloads.end() ? m_fleet.loadSeconds : found->second;
       }
     }
-    m_preloads = std::move(wished);
+    m_preloads = std::move(requested);
   }
 
   void ApplyGroups()
@@ -399,22 +399,22 @@
       for (const std::uint32_t vm : group.vms) {
         m_views[vm].loadedModel = kWeights;
       }
-      group.servesAt = m_now + (group.isNew ? m_fleet.formSeconds : kResume);
+      group.servesAt = m_now + (group.isNew ? m_fleet.formSeconds : kResumeTime);
     }
     if (!group.isServing && group.servesAt <= m_now) {
       SetServing(group, true);
-      Changed();
+      RecordChange();
     }
     if (group.endsAt <= m_now) {
       End(group);
     }
-    const bool isCalm = group.isServing && group.endsAt == kNever;
-    if (isCalm) {
-      Untouch(group.id);
+    const bool isStable = group.isServing && group.endsAt == kNever;
+    if (isStable) {
+      Deactivate(group.id);
     }
   }
 
-  void Changed()
+  void RecordChange()
   {
     m_changedAt = m_now;
     m_planAt = std::min(m_planAt, m_lastPlan + 1);
@@ -436,10 +436,10 @@
         ++m_result.ended;
         found->second.isEnding = true;
         found->second.endsAt = m_now + kDrainTime;
-        Touch(found->second.id);
+        Activate(found->second.id);
       }
     }
-    Changed();
+    RecordChange();
   }
 
   void Form(const FormGroupAction& form)
@@ -448,11 +448,11 @@
     for (const VmId& member : form.members) {
       const std::uint32_t vm = m_rows.at(member.Get());
       if (m_vms[vm].group != 0) {
-        return; // Refused, as the log's commands are.
+        return; // Refused, as the control log would refuse the command.
       }
       vms.push_back(vm);
     }
-    Check(AddGroup(std::move(vms)));
+    UpdateGroup(AddGroup(std::move(vms)));
   }
 
   void End(Group& group)
@@ -462,16 +462,16 @@
     group.servesAt = kNever;
     SetServing(group, false);
     StopLoad(group);
-    Untouch(group.id);
+    Deactivate(group.id);
     for (const std::uint32_t vm : group.vms) {
-      const double delay = IsUp(vm) ? kReleaseDelay : kLease;
+      const double delay = IsUp(vm) ? kReleaseDelay : kLeaseTime;
       m_vms[vm].freeAt = m_now + delay;
       m_notices.insert({ m_vms[vm].freeAt, vm });
     }
   }
 
-  void Touch(std::uint64_t id) { m_active.insert(id); }
-  void Untouch(std::uint64_t id)
+  void Activate(std::uint64_t id) { m_active.insert(id); }
+  void Deactivate(std::uint64_t id)
   {
     m_active.erase(id);
     m_loading.erase(id);
@@ -483,13 +483,13 @@
                      std::chrono::hours(1));
   }
 
-  void CountAll()
+  void InitialiseCounts()
   {
     m_serving = static_cast<double>(m_fleet.replicas);
     m_healthy = static_cast<double>(m_vms.size());
   }
 
-  void ShowGroups()
+  void BuildGroupViews()
   {
     m_groupViews.clear();
     for (const auto& [id, group] : m_groups) {
@@ -510,7 +510,7 @@
 
   void Plan()
   {
-    ShowGroups();
+    BuildGroupViews();
     const double before = m_clockMicros();
     std::vector<PlannerAction> actions =
       m_planner.Plan(ToTime(m_now), { m_views, m_groupViews, m_models, &m_fleet.policy });
@@ -537,7 +537,7 @@
   std::unordered_map<std::string, std::uint32_t> m_rows;
   std::vector<Vm> m_vms;
   std::map<std::uint64_t, Group> m_groups;
-  std::set<std::uint64_t> m_active; ///< Groups that may change by themselves.
+  std::set<std::uint64_t> m_active; ///< Groups with a pending change of state.
   std::set<std::uint64_t> m_loading;
   std::set<std::pair<double, std::uint32_t>> m_notices;
   std::map<std::uint32_t, double> m_preloads; ///< Seconds of load left, by VM.
--- a/tests/fakes/placement_replay.hpp
+++ b/tests/fakes/placement_replay.hpp
@@ -19,9 +19,9 @@
   std::uint32_t replicas = 30;
   std::uint32_t acceleratorsPerVm = 2;
   PolicySpec policy;
-  double loadSeconds = 120;    ///< At the weight store's full rate.
-  double formSeconds = 10;     ///< Until a new group serves whose members hold the weights.
-  bool grantsPreloads = false; ///< Spares load when the planner wishes it.
+  double loadSeconds = 120;    ///< Load time at the weight store's full rate.
+  double formSeconds = 10;     ///< Start time of a new group whose members hold the weights.
+  bool grantsPreloads = false; ///< Spares load weights when the planner requests it.
   double days = 30;
 
   [[nodiscard]] std::uint32_t CountFabrics() const
@@ -34,18 +34,19 @@
 /// \brief Failures per day for the whole fleet.
 struct ReplayRates
 {
-  double deaths = 0;               ///< Gone for hours, back empty.
-  double replaced = 0;             ///< Back after minutes, empty.
-  double restarted = 0;            ///< Back after a minute or two, empty.
+  double deaths = 0;               ///< Away for hours, back without weights.
+  double replaced = 0;             ///< Back after minutes without weights.
+  double restarted = 0;            ///< Back after a minute or two without weights.
   double pauses = 0;               ///< Back within a minute, with weights.
   double rackOutages = 0;          ///< A rack of VMs at once, for minutes to an hour.
-  double fabricOutages = 0;        ///< A fabric domain dark for a minute or so.
+  double fabricOutages = 0;        ///< A fabric domain unreachable for about a minute.
   double failureDomainOutages = 0; ///< A failure domain down for minutes to hours.
-  double flapping = 0;             ///< A VM begins to come and go for an hour.
-  double secondShare = 0.1;        ///< Outages after which a neighbour fails within minutes.
+  double flapping = 0;             ///< A VM with repeated short outages for an hour.
+  double secondShare = 0.1;        ///< Share of outages after which another VM of the fabric domain
+                                   ///< fails within minutes.
 };
 
-/// \brief One VM out of reach for a while.
+/// \brief One outage of one VM, in seconds from the start.
 struct ReplayOutage
 {
   double from = 0;
@@ -54,12 +55,12 @@
   bool keepsWeights = false;
 };
 
-/// \brief Draws the outages of a seed; the same for every policy.
+/// \brief Generates random outages; equal seeds give equal outages.
 [[nodiscard]] std::vector<ReplayOutage> DrawOutages(const ReplayFleet& fleet,
                                                     const ReplayRates& rates,
                                                     std::uint64_t seed);
 
-/// \brief What one replay cost.
+/// \brief Result of one replay.
 struct ReplayResult
 {
   double downSeconds = 0;     ///< Wanted groups that didn't serve, times seconds.
@@ -74,8 +75,9 @@
   }
 };
 
-/// \brief Runs a planner against outages, with load times, leases and the log's delay.
-/// \remarks A bench of decisions, not a cluster: no messages, no control leader, no requests.
+/// \brief Simulates a planner with these outages, with load times, leases and the log's delay.
+/// \remarks Evaluates the planner's decisions only: there are no messages, control leader or
+/// requests.
 [[nodiscard]] ReplayResult Replay(const ReplayFleet& fleet,
                                   const std::vector<ReplayOutage>& outages,
                                   PlacementPlanner planner,
--- a/tests/support/placement_tables.hpp
+++ b/tests/support/placement_tables.hpp
@@ -9,7 +9,7 @@
 
 namespace gooseberrysail::test {
 
-/// \brief Tables as the control leader holds them, filled by hand, to call the planner on.
+/// \brief The control leader's tables, filled by a test, and a planner that is called on them.
 /// \code
 /// PlacementTables tables;
 /// tables.AddModel("m", 1);
@@ -66,7 +66,7 @@
 
   VmView& Vm(const std::string& name) { return *std::ranges::find(vms, VmId(name), &VmView::vm); }
 
-  /// \brief A group that serves, as if formed before the story begins.
+  /// \brief Adds a serving group, formed 30 minutes ago.
   GroupId AddGroup(const std::string& model,
                    const std::vector<std::string>& members,
                    const std::string& version = "v1")
@@ -113,11 +113,11 @@
       vm.loadedModel.clear();
     }
     if (Group* group = Find(vm.group); group != nullptr) {
-      Heal(*group);
+      UpdateServing(*group);
     }
   }
 
-  void Heal(Group& group)
+  void UpdateServing(Group& group)
   {
     const auto holds = [&](const VmId& id) {
       const VmView& vm = Vm(id.Get());
@@ -130,14 +130,14 @@
     }
   }
 
-  /// \brief Every member of the group now holds its weights, and it serves.
-  void Load(GroupId id)
+  /// \brief Gives every member the group's weights, so that the group serves if all are reachable.
+  void LoadWeights(GroupId id)
   {
     Group& group = *Find(id);
     for (const VmId& member : group.members) {
       Vm(member.Get()).loadedModel = Weights(group.view.entry.Get(), group.view.modelVersion);
     }
-    Heal(group);
+    UpdateServing(group);
   }
 
   std::vector<PlannerAction> Plan(Duration step = std::chrono::seconds(1))
@@ -154,7 +154,7 @@
     return planner.Plan(now, { vms, views, models, &policy });
   }
 
-  void Free(GroupId id)
+  void FreeMembers(GroupId id)
   {
     for (VmView& vm : vms) {
       if (vm.group == id) {
@@ -164,16 +164,16 @@
     std::erase_if(groups, [id](const Group& g) { return g.view.group == id; });
   }
 
-  /// \brief Takes all actions into effect at once; a drained group is idle at once, too.
+  /// \brief Applies all actions at once; a drained group is idle immediately.
   void Apply(const std::vector<PlannerAction>& actions)
   {
     for (const PlannerAction& action : actions) {
       if (const auto* form = std::get_if<FormGroupAction>(&action)) {
         Form(*form);
       } else if (const auto* dissolve = std::get_if<DissolveGroupAction>(&action)) {
-        Free(dissolve->group);
+        FreeMembers(dissolve->group);
       } else if (const auto* drain = std::get_if<DrainGroupAction>(&action)) {
-        Free(drain->group);
+        FreeMembers(drain->group);
       }
     }
   }
@@ -189,10 +189,10 @@
     for (const VmId& member : form.members) {
       Vm(member.Get()).group = group.view.group;
     }
-    Heal(group);
+    UpdateServing(group);
   }
 
-  /// \brief Plans and applies once a second.
+  /// \brief Plans and applies the actions once a second.
   std::vector<PlannerAction> Run(Duration time)
   {
     std::vector<PlannerAction> all;
@@ -206,7 +206,7 @@
 };
 
 template<class Action>
-std::vector<Action> Only(const std::vector<PlannerAction>& actions)
+std::vector<Action> ActionsOfType(const std::vector<PlannerAction>& actions)
 {
   std::vector<Action> found;
   for (const PlannerAction& action : actions) {
--- a/tests/unit/placement_estimates_test.cpp
+++ b/tests/unit/placement_estimates_test.cpp
@@ -33,10 +33,10 @@
   EXPECT_LT(times.StillAway(0, 30), before);
 }
 
-TEST(PlacementEstimates, VmsThatNeverComeBackCountThoughNobodyReportsThem)
+TEST(PlacementEstimates, VmsThatNeverReturnCountAsAway)
 {
-  // Symptom: the planner waits for dead VMs. Only returns were counted, and of outages that end
-  // those that last are the fewest.
+  // Guards against a planner that waits for VMs that never return, as it would if only finished
+  // outages were counted: long outages are rare among those.
   ReturnTimes times(kMix, 10);
   const double before = times.StillAway(60, 600);
   for (int count = 0; count < 200; ++count) {
@@ -47,10 +47,10 @@
   EXPECT_GT(times.StillAway(0, 60), 0.9);
 }
 
-TEST(PlacementEstimates, ADarkFabricDomainSaysNothingOfSingleVms)
+TEST(PlacementEstimates, AFabricDomainOutageLeavesTheSingleVmEstimateUnchanged)
 {
-  // Symptom: after one blip of a fabric domain the planner takes each lost VM for one that is back
-  // in a moment. All of its VMs came back at once, and each of them counted.
+  // Guards against a planner that expects every lost VM back shortly after one short outage of a
+  // fabric domain. The cause would be to count the return of each of its VMs as a single outage.
   test::PlacementTables tables;
   tables.AddVms("fabric-a", "a", 40);
   History history;
@@ -95,17 +95,17 @@
   EXPECT_GT(history.Times(OutageSpan::kAlone).StillAway(3600, 3600), before + 0.02);
 }
 
-TEST(PlacementEstimates, TheLastSpareIsTheDearest)
+TEST(PlacementEstimates, TheLastSpareCostsMost)
 {
-  EXPECT_GT(OutagesLeftOut(1, 1, 0.3), 5 * OutagesLeftOut(3, 1, 0.3));
-  EXPECT_GT(OutagesLeftOut(4, 4, 0.3), OutagesLeftOut(4, 1, 0.3));
-  EXPECT_DOUBLE_EQ(OutagesLeftOut(3, 0, 0.3), 0);
+  EXPECT_GT(AddedUncoveredOutages(1, 1, 0.3), 5 * AddedUncoveredOutages(3, 1, 0.3));
+  EXPECT_GT(AddedUncoveredOutages(4, 4, 0.3), AddedUncoveredOutages(4, 1, 0.3));
+  EXPECT_DOUBLE_EQ(AddedUncoveredOutages(3, 0, 0.3), 0);
 }
 
 TEST(PlacementEstimates, EachFurtherWarmSpareIsWorthLess)
 {
-  const double first = WorthOfWarm(1, 100) - WorthOfWarm(0, 100);
-  const double second = WorthOfWarm(2, 100) - WorthOfWarm(1, 100);
+  const double first = WarmSpareValue(1, 100) - WarmSpareValue(0, 100);
+  const double second = WarmSpareValue(2, 100) - WarmSpareValue(1, 100);
   EXPECT_GT(first, second);
   EXPECT_GT(second, 0);
   EXPECT_LT(first, 100);
@@ -113,20 +113,20 @@
 
 TEST(PlacementEstimates, WaitingIsWorthItWhileTheReturnIsNear)
 {
-  Outlook outlook;
-  outlook.rate = 1;
-  outlook.patienceLeft = 1000;
+  GroupForecast forecast;
+  forecast.costPerSecond = 1;
+  forecast.patienceLeft = 1000;
   for (std::size_t step = 0; step < kSteps; ++step) {
-    outlook.down[step] = StepTimes()[step] < 10 ? 0.9 : 0.1;
+    forecast.down[step] = StepTimes()[step] < 10 ? 0.9 : 0.1;
   }
-  EXPECT_LT(CostOfWaiting(outlook, 100, 0, 1), 100) << "nine in ten are back after 10 s";
-  EXPECT_LT(CostOfWaiting(outlook, 100, 0, 1), CostOfWaiting(outlook));
-  outlook.down.fill(0.99);
-  EXPECT_GT(CostOfWaiting(outlook, 100, 0, 1), 99) << "then waiting only adds to the cost";
-  SECTION("beyond the operator's patience, only for good")
+  EXPECT_LT(CostOfWaiting(forecast, 100, 0, 1), 100) << "nine in ten are back after 10 s";
+  EXPECT_LT(CostOfWaiting(forecast, 100, 0, 1), CostOfWaiting(forecast));
+  forecast.down.fill(0.99);
+  EXPECT_GT(CostOfWaiting(forecast, 100, 0, 1), 99) << "then waiting only adds to the cost";
+  SECTION("the fallback is not taken once the patience has ended")
   {
-    outlook.patienceLeft = 0;
-    EXPECT_DOUBLE_EQ(CostOfWaiting(outlook, 100, 0, 1), CostOfWaiting(outlook));
+    forecast.patienceLeft = 0;
+    EXPECT_DOUBLE_EQ(CostOfWaiting(forecast, 100, 0, 1), CostOfWaiting(forecast));
   }
 }
 
--- a/tests/unit/placement_planner_test.cpp
+++ b/tests/unit/placement_planner_test.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 using namespace std::chrono_literals;
-using test::Only;
+using test::ActionsOfType;
 using test::PlacementTables;
 using ::testing::IsEmpty;
 using ::testing::SizeIs;
@@ -26,7 +26,7 @@
   tables.AddVms("fabric-a", "a", 3);
   tables.AddVms("fabric-b", "b", 4);
   tables.AddVms("fabric-c", "c", 3);
-  const auto forms = Only<FormGroupAction>(tables.Plan());
+  const auto forms = ActionsOfType<FormGroupAction>(tables.Plan());
   ASSERT_THAT(forms, SizeIs(1)) << "ten VMs, but only fabric-b has four";
   EXPECT_THAT(Names(forms[0].members), ::testing::UnorderedElementsAre("b0", "b1", "b2", "b3"));
 }
@@ -37,7 +37,7 @@
   tables.AddModel("a-batch", 1, 4, PriorityClass::kBatch);
   tables.AddModel("z-urgent", 1, 4, PriorityClass::kInteractive);
   tables.AddVms("fabric-a", "a", 4);
-  const auto forms = Only<FormGroupAction>(tables.Plan());
+  const auto forms = ActionsOfType<FormGroupAction>(tables.Plan());
   ASSERT_THAT(forms, SizeIs(1));
   EXPECT_EQ(forms[0].entry.Get(), "z-urgent");
 }
@@ -50,7 +50,7 @@
   tables.Vm("a3").loadedModel = "m@v1";
   tables.Vm("a5").loadedModel = "m@v1";
   tables.Vm("a0").loadedModel = "m@v0";
-  const auto forms = Only<FormGroupAction>(tables.Plan());
+  const auto forms = ActionsOfType<FormGroupAction>(tables.Plan());
   ASSERT_THAT(forms, SizeIs(1));
   EXPECT_THAT(Names(forms[0].members), ::testing::ElementsAre("a3", "a5"));
 }
@@ -63,31 +63,31 @@
   tables.AddVms("fabric-b", "b", 6);
   tables.AddVms("fabric-c", "c", 4);
   std::set<char> used;
-  for (const FormGroupAction& form : Only<FormGroupAction>(tables.Plan())) {
+  for (const FormGroupAction& form : ActionsOfType<FormGroupAction>(tables.Plan())) {
     used.insert(form.members.front().Get().front());
   }
   EXPECT_THAT(used, ::testing::ElementsAre('a', 'b', 'c'));
 }
 
-TEST(Placement, PromisesAVmOnlyOnceWhileTheLogIsSlow)
+TEST(Placement, AssignsAVmOnceWhileTheLogIsSlow)
 {
-  // Symptom: a VM is named in two FormGroup commands, and the second is refused. The planner
-  // runs each second, but the first command needs longer than that to show in the tables.
+  // Guards against two FormGroup commands for one VM, of which the second is refused. The planner
+  // runs each second, but a command takes longer than that to be visible in the tables.
   PlacementTables tables;
   tables.AddModel("m", 2, 2);
   tables.AddVms("fabric-a", "a", 4);
   tables.policy.weightLoadsAtOnce = 1;
   std::set<std::string> named;
   for (int second = 0; second < 3; ++second) {
-    for (const FormGroupAction& form : Only<FormGroupAction>(tables.Plan())) {
+    for (const FormGroupAction& form : ActionsOfType<FormGroupAction>(tables.Plan())) {
       for (const VmId& vm : form.members) {
-        EXPECT_TRUE(named.insert(vm.Get()).second) << vm << " was promised twice";
+        EXPECT_TRUE(named.insert(vm.Get()).second) << vm << " was assigned twice";
       }
     }
   }
-  SECTION("a command that was lost is given again")
+  SECTION("a command that was lost is repeated")
   {
-    EXPECT_THAT(Only<FormGroupAction>(tables.Plan(10s)), SizeIs(1));
+    EXPECT_THAT(ActionsOfType<FormGroupAction>(tables.Plan(10s)), SizeIs(1));
   }
 }
 
@@ -98,11 +98,11 @@
   tables.AddVms("fabric-a", "a", 5);
   const GroupId group = tables.AddGroup("m", { "a0", "a1", "a2", "a3" });
   tables.Vm("a1").draining = true;
-  const auto drains = Only<DrainGroupAction>(tables.Plan());
+  const auto drains = ActionsOfType<DrainGroupAction>(tables.Plan());
   ASSERT_THAT(drains, SizeIs(1));
   EXPECT_EQ(drains[0].group, group);
-  tables.Free(group);
-  const auto forms = Only<FormGroupAction>(tables.Plan());
+  tables.FreeMembers(group);
+  const auto forms = ActionsOfType<FormGroupAction>(tables.Plan());
   ASSERT_THAT(forms, SizeIs(1));
   EXPECT_THAT(Names(forms[0].members), ::testing::Not(::testing::Contains("a1")));
 }
@@ -117,8 +117,8 @@
   EXPECT_THAT(tables.Plan(), IsEmpty());
   spec.replicas = 1;
   tables.Lose("a2");
-  const auto dissolved = Only<DissolveGroupAction>(tables.Plan());
-  ASSERT_THAT(dissolved, SizeIs(1)) << "the broken one goes, the serving one stays";
+  const auto dissolved = ActionsOfType<DissolveGroupAction>(tables.Plan());
+  ASSERT_THAT(dissolved, SizeIs(1)) << "the broken group ends, the serving one stays";
   EXPECT_EQ(dissolved[0].group, broken);
 }
 
@@ -129,13 +129,13 @@
   tables.AddVms("fabric-a", "a", 2);
   tables.AddGroup("m", { "a0", "a1" });
   tables.models.clear();
-  EXPECT_THAT(Only<DrainGroupAction>(tables.Plan()), SizeIs(1));
+  EXPECT_THAT(ActionsOfType<DrainGroupAction>(tables.Plan()), SizeIs(1));
 }
 
-TEST(Placement, ANewVersionTakesOutABoundedShare)
+TEST(Placement, ARolloutDrainsABoundedShare)
 {
-  // Symptom without the bound: the catalogue gets a new version, all groups drain at once, and
-  // the model is gone until the weight store has fed every one of them.
+  // Guards against a rollout that drains all groups at once: the model would be out of service
+  // until the groups of the new version have loaded their weights.
   PlacementTables tables;
   ModelSpec& spec = tables.AddModel("m", 20, 1);
   tables.AddVms("fabric-a", "a", 20);
@@ -143,14 +143,14 @@
     tables.AddGroup("m", { "a" + std::to_string(index) });
   }
   spec.version = "v2";
-  const auto drains = Only<DrainGroupAction>(tables.Plan());
+  const auto drains = ActionsOfType<DrainGroupAction>(tables.Plan());
   EXPECT_THAT(drains, SizeIs(2)) << "a tenth of 20";
   for (const DrainGroupAction& drain : drains) {
-    tables.Free(drain.group);
+    tables.FreeMembers(drain.group);
   }
-  SECTION("the next ones wait until the first serve again")
+  SECTION("the next groups wait until the first ones serve again")
   {
-    const auto forms = Only<FormGroupAction>(tables.Plan());
+    const auto forms = ActionsOfType<FormGroupAction>(tables.Plan());
     EXPECT_THAT(forms, SizeIs(2));
     for (const FormGroupAction& form : forms) {
       EXPECT_EQ(form.modelVersion, "v2");
--- a/tests/unit/placement_property_test.cpp
+++ b/tests/unit/placement_property_test.cpp
@@ -11,104 +11,109 @@
 using namespace std::chrono_literals;
 using test::PlacementTables;
 
-/// Random fleets, losses, returns, drains and catalogue changes, with a log that takes up to four
-/// seconds; a failing seed tells its number.
-class Story
+/// Random fleets, losses, returns, drains and catalogue changes, with a log delay of up to three
+/// seconds.
+class Scenario
 {
 public:
-  explicit Story(std::uint32_t seed)
+  explicit Scenario(std::uint32_t seed)
     : m_random(seed)
   {
-    m_tables.policy.weightLoadsAtOnce = 1 + Below(4);
-    m_tables.policy.repairPatience = std::chrono::seconds(1 + Below(60));
-    const std::uint32_t models = 1 + Below(3);
+    m_tables.policy.weightLoadsAtOnce = 1 + UniformBelow(4);
+    m_tables.policy.repairPatience = std::chrono::seconds(1 + UniformBelow(60));
+    const std::uint32_t models = 1 + UniformBelow(3);
     for (std::uint32_t model = 0; model < models; ++model) {
       m_tables.AddModel("m" + std::to_string(model),
-                        1 + Below(4),
-                        1 + Below(4),
-                        static_cast<PriorityClass>(Below(3)));
+                        1 + UniformBelow(4),
+                        1 + UniformBelow(4),
+                        static_cast<PriorityClass>(UniformBelow(3)));
     }
-    const std::uint32_t fabrics = 1 + Below(4);
+    const std::uint32_t fabrics = 1 + UniformBelow(4);
     for (std::uint32_t fabric = 0; fabric < fabrics; ++fabric) {
       m_tables.AddVms("fabric-" + std::to_string(fabric),
                       std::string(1, static_cast<char>('a' + fabric)),
-                      2 + Below(10));
+                      2 + UniformBelow(10));
     }
   }
 
   void Run(int seconds)
   {
     for (int second = 0; second < seconds && !::testing::Test::HasFailure(); ++second) {
-      Disturb();
+      ApplyRandomFault();
       const auto actions = m_tables.Plan();
-      CheckOnceEach(actions);
+      CheckNoDuplicates(actions);
       for (const PlannerAction& action : actions) {
         Check(action);
         if (const GroupId group = Ended(action); !group.IsNone()) {
           m_pendingEnds.insert(group);
         }
-        m_log.emplace_back(m_tables.now + std::chrono::seconds(Below(4)), action);
+        m_log.emplace_back(m_tables.now + std::chrono::seconds(UniformBelow(4)), action);
       }
       ApplyLog();
     }
   }
 
 private:
-  std::uint32_t Below(std::uint32_t count)
+  std::uint32_t UniformBelow(std::uint32_t count)
   {
     return std::uniform_int_distribution<std::uint32_t>(0, count - 1)(m_random);
   }
 
-  VmView& AnyVm() { return m_tables.vms[Below(static_cast<std::uint32_t>(m_tables.vms.size()))]; }
+  VmView& RandomVm()
+  {
+    return m_tables.vms[UniformBelow(static_cast<std::uint32_t>(m_tables.vms.size()))];
+  }
 
-  void Disturb()
+  void ApplyRandomFault()
   {
-    const std::string vm = AnyVm().vm.Get();
-    switch (Below(12)) {
+    const std::string vm = RandomVm().vm.Get();
+    switch (UniformBelow(12)) {
       case 0:
         m_tables.Lose(vm);
         break;
       case 1:
       case 2:
         if (!m_tables.Vm(vm).reachable) {
-          m_tables.Return(vm, Below(2) == 0);
+          m_tables.Return(vm, UniformBelow(2) == 0);
         }
         break;
       case 3:
-        m_tables.Vm(vm).draining = Below(4) == 0;
+        m_tables.Vm(vm).draining = UniformBelow(4) == 0;
         break;
       case 4:
-        m_tables.Vm(vm).straggler = Below(4) == 0;
+        m_tables.Vm(vm).straggler = UniformBelow(4) == 0;
         break;
       case 5:
         if (!m_tables.groups.empty()) {
-          m_tables.Load(
-            m_tables.groups[Below(static_cast<std::uint32_t>(m_tables.groups.size()))].view.group);
+          m_tables.LoadWeights(
+            m_tables.groups[UniformBelow(static_cast<std::uint32_t>(m_tables.groups.size()))]
+              .view.group);
         }
         break;
       case 6:
-        Change(m_tables.specs[Below(static_cast<std::uint32_t>(m_tables.specs.size()))]);
+        ChangeRandomly(
+          m_tables.specs[UniformBelow(static_cast<std::uint32_t>(m_tables.specs.size()))]);
         break;
       case 7:
-        LoseFabric(AnyVm().fabricDomain);
+        LoseFabricAtRandom(RandomVm().fabricDomain);
         break;
       default:
         break;
     }
   }
 
-  void Change(ModelSpec& spec)
+  void ChangeRandomly(ModelSpec& spec)
   {
-    if (Below(10) == 0) {
-      spec.version = "v" + std::to_string(Below(3));
-      spec.replicas = Below(5);
-      spec.membersPerReplica = 1 + Below(4);
+    if (UniformBelow(10) == 0) {
+      spec.version = "v" + std::to_string(UniformBelow(3));
+      spec.replicas = UniformBelow(5);
+      spec.membersPerReplica = 1 + UniformBelow(4);
     }
   }
 
-  void LoseFabric(const FabricDomainId& fabric)
+  void LoseFabricAtRandom(const FabricDomainId& fabric)
   {
-    if (Below(8) != 0) {
+    if (UniformBelow(8) != 0) {
       return;
     }
     for (VmView& vm : m_tables.vms) {
@@ -127,7 +132,7 @@
     return drain == nullptr ? GroupId() : drain->group;
   }
 
-  void CheckOnceEach(const std::vector<PlannerAction>& actions)
+  void CheckNoDuplicates(const std::vector<PlannerAction>& actions)
   {
     std::set<VmId> vms;
     std::set<GroupId> ended;
@@ -140,7 +145,8 @@
         const GroupId group = Ended(action);
         EXPECT_TRUE(ended.insert(group).second) << group << " is ended twice";
         EXPECT_TRUE(m_tables.Find(group)) << group << " doesn't exist";
-        EXPECT_FALSE(m_pendingEnds.contains(group)) << group << " was told to end already";
+        EXPECT_FALSE(m_pendingEnds.contains(group))
+          << group << " has an end action pending already";
       }
     }
   }
@@ -158,14 +164,14 @@
     for (const VmId& id : form->members) {
       const VmView& vm = m_tables.Vm(id.Get());
       EXPECT_TRUE(vm.group.IsNone()) << id << " is in a group";
-      EXPECT_TRUE(vm.reachable) << id << " is out of reach";
-      EXPECT_FALSE(vm.draining) << id << " leaves";
+      EXPECT_TRUE(vm.reachable) << id << " is unreachable";
+      EXPECT_FALSE(vm.draining) << id << " is draining";
       EXPECT_EQ(vm.fabricDomain, m_tables.Vm(form->members.front().Get()).fabricDomain);
       for (const auto& [at, other] : m_log) {
         const auto* pending = std::get_if<FormGroupAction>(&other);
         EXPECT_FALSE(pending != nullptr &&
                      std::ranges::find(pending->members, id) != pending->members.end())
-          << id << " is promised to a group already";
+          << id << " is already assigned to a group";
       }
     }
   }
@@ -192,12 +198,12 @@
   std::set<GroupId> m_pendingEnds;
 };
 
-TEST(PlacementProperty, NoActionBreaksARule)
+TEST(PlacementProperty, ActionsKeepInvariants)
 {
   for (std::uint32_t seed = 0; seed < 300 && !HasFailure(); ++seed) {
     SECTION("seed " + std::to_string(seed))
     {
-      Story(seed).Run(400);
+      Scenario(seed).Run(400);
     }
   }
 }
--- a/tests/unit/pool_plan_test.cpp
+++ b/tests/unit/pool_plan_test.cpp
@@ -14,7 +14,7 @@
 const GroupModel kLarge{ "large", 4, 0.5, 1.0, 16s, 1600ms };
 const GroupModel kSmall{ "small", 2, 0.5, 0.6, 12s, 1100ms };
 
-/// Free targets of one domain; `staged` "" for cold ones.
+/// Adds free targets of one domain; `staged` is "" for cold ones.
 void Add(std::vector<FreeTarget>& free,
          std::size_t count,
          const std::string& domain,
@@ -53,16 +53,15 @@
   EXPECT_NE(plan.groups[0].members[0].Get()[0], plan.groups[1].members[0].Get()[0]);
 }
 
-// Symptom: three warm targets stood idle for sixteen seconds.
-// Sequence: a member died under load and a cold target took its place in the group's next life.
-// Cause: the cold member loaded inside the group, and the others waited for it.
+// Guards against warm targets that wait 16 s in a group: when a cold target replaces a lost member
+// under traffic and loads inside the group, all other members wait for it.
 TEST(PoolPlan, UnderLoadColdTargetsLoadBeforeTheyJoin)
 {
   std::vector<FreeTarget> free;
   Add(free, 3, "a", "large");
   Add(free, 1, "a", "");
   const std::vector<ModelNeed> needs{ { &kLarge, 0, 1 } };
-  SECTION("the missing one is staged")
+  SECTION("the missing target's weights are staged")
   {
     const PoolPlan plan = PlanPool({ free, needs, {}, 5, 5, false });
     EXPECT_THAT(plan.groups, IsEmpty());
@@ -101,7 +100,7 @@
   EXPECT_EQ(large, 3);
 }
 
-/// Groups of `count` members, whose hosts hold what they serve with.
+/// A group of `count` members whose hosts hold the weights that it serves with.
 ServingGroup Serving(const std::string& name,
                      const std::string& model,
                      const std::string& domain,
@@ -119,9 +118,9 @@
   return group;
 }
 
-// Symptom: callers of the large model are refused for half a minute while the small one has groups
-// to spare. Sequence: members die until each domain has one or two targets left over, too few for a
-// large group. Cause: a group that served never gave up its targets.
+// Guards against refused requests for the large model while the small one has more groups than it
+// needs: after losses each domain has one or two free targets, too few for a large group, so a
+// serving group has to release its targets.
 TEST(PoolPlan, AModelThatLacksLeastGivesTargetsToTheOneThatLacksMost)
 {
   std::vector<FreeTarget> free;
@@ -146,13 +145,13 @@
     EXPECT_THAT(plan.takeovers[0].releases, ::testing::ElementsAre("g1"));
     EXPECT_THAT(plan.takeovers[0].group.members, SizeIs(4));
   }
-  SECTION("not where the small model would then lack more")
+  SECTION("not when the small model would then have the greater need")
   {
     const std::vector<ModelNeed> close{ { &kLarge, 2, 3, 2.4 }, { &kSmall, 4, 6, 4.8 } };
     const PoolPlan plan = PlanPool({ free, close, serving, 0, 0, false });
     EXPECT_THAT(plan.takeovers, IsEmpty());
   }
-  SECTION("not while losses are still coming in")
+  SECTION("not while losses are still being detected")
   {
     for (FreeTarget& member : serving[0].members) {
       member.stagedModels = { "large" };
@@ -161,7 +160,7 @@
     input.mayTakeOver = false;
     EXPECT_THAT(PlanPool(input).takeovers, IsEmpty());
   }
-  SECTION("not for groups that are only reserve")
+  SECTION("not for groups that are only a reserve")
   {
     for (FreeTarget& member : serving[0].members) {
       member.stagedModels = { "large" };
@@ -171,10 +170,10 @@
   }
 }
 
-// Symptom: after a domain went dark the small model has two groups for four groups of work, and the
-// large one three for two. Sequence: the large model is a little short; it takes the targets of two
-// small groups, whose weights nobody else holds. Cause: any gain counted, however much the other
-// lost.
+// Guards against a takeover that costs the other model more than it gains. After the loss of a
+// domain, a large model slightly short of groups could take the targets of two small groups whose
+// weights no other hosts hold: the small model then has two groups for a load of four, the large
+// one three for two.
 TEST(PoolPlan, AModelThatIsALittleShortTakesNothingFromOneThatNeedsItsGroups)
 {
   std::vector<ServingGroup> serving{ Serving("g1", "small", "a", 2),
@@ -186,16 +185,16 @@
   }
   const std::vector<ModelNeed> needs{ { &kLarge, 2, 3, 1.9 }, { &kSmall, 5, 6, 3.6 } };
   EXPECT_THAT(PlanPool({ {}, needs, serving, 0, 0, false }).takeovers, IsEmpty());
-  SECTION("one that has hardly any group does")
+  SECTION("a model with hardly any group does")
   {
-    const std::vector<ModelNeed> dire{ { &kLarge, 0, 3, 1.9 }, { &kSmall, 5, 6, 3.6 } };
-    EXPECT_THAT(PlanPool({ {}, dire, serving, 0, 0, false }).takeovers, SizeIs(1));
+    const std::vector<ModelNeed> severe{ { &kLarge, 0, 3, 1.9 }, { &kSmall, 5, 6, 3.6 } };
+    EXPECT_THAT(PlanPool({ {}, severe, serving, 0, 0, false }).takeovers, SizeIs(1));
   }
 }
 
-// Symptom: the large model has no group for 25 s, while one domain has seven idle targets with its
-// weights, three idle ones without, and small groups whose hosts hold them.
-// Cause: ten idle targets looked enough, so no serving group was asked for the eighth warm one.
+// Guards against a large model without a group for 25 s, while one domain has seven idle targets
+// with its weights, three idle ones without, and small groups whose hosts hold them. If all ten
+// idle targets are counted, no serving group is considered for the eighth warm target.
 TEST(PoolPlan, ColdIdleTargetsDoNotHideWarmMembersOfServingGroups)
 {
   std::vector<FreeTarget> free;
@@ -212,10 +211,10 @@
               ::testing::Not(::testing::Contains(serving[0].members[0].instance)));
 }
 
-// Symptom: a lost member of a small group is replaced after 1.4 s in place of 0.5 s, and ten
-// seconds later no large group can be formed. Sequence: all spares hold the large model's weights;
-// the first losses hit small groups. Cause: spares were not shared out as members are.
-TEST(PoolPlan, SparesAreSharedOutAsMembersAre)
+// Guards against spares that all hold the large model's weights. The replacement of a lost member
+// of a small group then takes 1.4 s instead of 0.5 s, and the spares used for it are missing ten
+// seconds later, when a large group has to be formed.
+TEST(PoolPlan, SparesAreDistributedInProportionToMembers)
 {
   std::vector<FreeTarget> free;
   Add(free, 2, "a", "");
@@ -225,9 +224,9 @@
   EXPECT_NE(plan.stages[0].model, plan.stages[1].model);
 }
 
-// Symptom: the large model can't be repaired although a domain had a target that served it last.
-// Sequence: a small group is formed where it changes the model of two targets, while another domain
-// has two that served the small one. Cause: only loads and room counted.
+// Guards against a small group formed of two targets that served the large model last, while
+// another domain has two that served the small one: a later repair of a large group would lack
+// those targets. It happens when only the loads and the free targets of a domain are compared.
 TEST(PoolPlan, GroupsAreFormedWhereFewestTargetsChangeTheirModel)
 {
   std::vector<FreeTarget> free;
@@ -243,11 +242,10 @@
               ::testing::UnorderedElementsAre(free[3].instance, free[4].instance));
 }
 
-// Symptom: a small group closes for the large model and opens again at once, over and over, while
-// the large model has no group. Sequence: two free targets and two of a small group would make a
-// large group; the small model lacks a group itself.
-// Cause: the model that lacked less took what was free.
-TEST(PoolPlan, WhatIsFreeGoesToTheModelThatLacksMost)
+// Guards against a small group that is repeatedly closed for the large model and formed again,
+// while the large model has no group. Two free targets and two of a small group could form a large
+// group, but the small model is also short of a group and would take the free targets first.
+TEST(PoolPlan, FreeTargetsGoToTheModelWithTheGreatestNeed)
 {
   std::vector<FreeTarget> free;
   Add(free, 2, "a", "large");
@@ -264,9 +262,9 @@
   EXPECT_THAT(plan.groups, IsEmpty());
 }
 
-// Symptom: the survivors of a broken group wait 12 s for weights that they have.
-// Sequence: their hosts were told to hold another model's weights while they served.
-// Cause: only the host's weights counted, not the target's own.
+// Guards against survivors of a broken group that wait 12 s for weights that they hold themselves.
+// Their hosts loaded another model's weights while they served, so the target's own weights have to
+// be counted besides the host's.
 TEST(PoolPlan, TargetsOfAFormerGroupJoinOneOfItsModelAtOnce)
 {
   std::vector<FreeTarget> free;
@@ -296,9 +294,9 @@
               ::testing::UnorderedElementsAre(free[2].instance, free[3].instance));
 }
 
-// Symptom: four idle targets form no group for ten seconds, as one of them lacks the weights.
-// Sequence: six hosts that serve load second weights, for 16 s; then a group comes to lack one
-// target. Cause: second weights took all loads that the store serves at once.
+// Guards against four idle targets that form no group for ten seconds because one of them lacks the
+// weights. If six hosts load second weights for 16 s, they use all loads that the store serves at
+// once.
 TEST(PoolPlan, LoadsThatAGroupWaitsForDoNotStandBehindSecondWeights)
 {
   std::vector<FreeTarget> free;
@@ -315,7 +313,7 @@
   EXPECT_EQ(plan.stages[0].model, "large");
 }
 
-// Guards against loads for a takeover in one domain while another lacks a single one.
+// Guards against loads for a takeover in one domain while a group in another needs a single load.
 TEST(PoolPlan, LoadsBeginWhereTheFewestCompleteAGroup)
 {
   std::vector<FreeTarget> free;
@@ -347,7 +345,7 @@
   EXPECT_EQ(plan.stages[0].model, "large");
 }
 
-// Guards against a group that uses up the weights for which a model that lacks more waits.
+// Guards against a group that uses up weights that a model with a greater need waits for.
 TEST(PoolPlan, AGroupLeavesTheWeightsThatAModelWhichLacksMoreWaitsFor)
 {
   std::vector<FreeTarget> free;
@@ -364,7 +362,7 @@
   EXPECT_EQ(plan.stages[0].model, "large");
 }
 
-// Guards against groups formed of targets whose hosts lose another model's weights by that.
+// Guards against groups formed of targets whose hosts thereby lose another model's weights.
 TEST(PoolPlan, GroupsAreFormedWhereHostsLoseFewestWeights)
 {
   std::vector<FreeTarget> free;
@@ -379,7 +377,7 @@
               ::testing::UnorderedElementsAre(free[2].instance, free[3].instance));
 }
 
-// Guards against a group of another model formed of a target whose load a group waits for.
+// Guards against using a target for another model while a group waits for its load.
 TEST(PoolPlan, TargetsThatLoadForAGroupAreKeptForIt)
 {
   std::vector<FreeTarget> free;
@@ -391,7 +389,8 @@
   EXPECT_THAT(plan.groups, IsEmpty());
 }
 
-// Guards against a domain without spares while another has members of an ended group besides.
+// Guards against using all free targets of one domain while another will also get back the members
+// of an ended group.
 TEST(PoolPlan, GroupsAreFormedWhereMembersOfEndedGroupsReturn)
 {
   std::vector<FreeTarget> free;
@@ -409,7 +408,8 @@
               ::testing::UnorderedElementsAre(free[2].instance, free[3].instance));
 }
 
-// Guards against loads of another model on targets that complete a group with members that return.
+// Guards against loading another model's weights on a target that can complete a group together
+// with members that return.
 TEST(PoolPlan, LoadsCompleteAGroupWithMembersThatReturn)
 {
   std::vector<FreeTarget> free;
@@ -428,7 +428,7 @@
   EXPECT_EQ(plan.stages[0].model, "large");
 }
 
-// Guards against second weights that delay the loads of a model which lacks groups.
+// Guards against second weights that delay the loads of a model that is short of groups.
 TEST(PoolPlan, SecondWeightsWaitWhileAModelLacksGroups)
 {
   const std::vector<ServingGroup> serving{ Serving("g1", "small", "a", 2) };
@@ -476,9 +476,9 @@
   EXPECT_EQ(WantedGroups(1.75), 3U);
   EXPECT_EQ(WantedGroups(3.7), 5U);
   EXPECT_EQ(WantedGroups(0.1), 1U);
-  EXPECT_LT(ServedPart(2, 1.75), 0.75);
-  EXPECT_GT(ServedPart(5, 3.7), 0.9);
-  EXPECT_EQ(ServedPart(0, 0), 1.0);
+  EXPECT_LT(ServedFraction(2, 1.75), 0.75);
+  EXPECT_GT(ServedFraction(5, 3.7), 0.9);
+  EXPECT_EQ(ServedFraction(0, 0), 1.0);
 }
 
 TEST(ModelWork, CountsReadingAloneAndWritingShared)
@@ -490,7 +490,7 @@
   engine.promptTokensPerSecond = 45'900;
   const ModelDemand demand{ 106, 106 * 714.0, 106 * 146.0 };
   const double work = OfferedLoad(engine, kSmall, demand);
-  // Reading 0.6 * 1.65 s, writing 0.6 * 15476 * (0.229 + 0.095) ms, a second.
+  // Per second: 0.6 * 1.65 s for prompts, 0.6 * 15476 * (0.229 + 0.095) ms for output tokens.
   EXPECT_NEAR(work, 4.0, 0.1);
   EXPECT_EQ(WantedGroups(3.3), 5U);
   EXPECT_EQ(WantedGroups(0), 0U);
