--- a/src/placement/model_work.cpp
+++ b/src/placement/model_work.cpp
@@ -5,7 +5,7 @@
 
 namespace gooseberrysail {
 
-double GroupsOfWork(const EngineSpec& engine, const GroupModel& model, const ModelDemand& demand)
+double OfferedLoad(const EngineSpec& engine, const GroupModel& model, const ModelDemand& demand)
 {
   const double slots = std::max(engine.slots, 1U);
   const double reading =
@@ -16,9 +16,9 @@
   return model.pace * (reading + writing);
 }
 
-double GroupsForService(double groupsOfWork)
+double RequiredGroups(double offeredLoad)
 {
-  return groupsOfWork + kStaffing * std::sqrt(groupsOfWork);
+  return offeredLoad + kStaffingFactor * std::sqrt(offeredLoad);
 }
 
 Duration FullStep(const EngineSpec& engine, const GroupModel& model)
@@ -28,16 +28,17 @@
   return std::chrono::duration_cast<Duration>(step * model.pace);
 }
 
-std::uint32_t WantedGroups(double groupsOfWork)
+std::uint32_t WantedGroups(double offeredLoad)
 {
-  // A whole group for a sliver of work would take the spares that the next loss needs.
-  const auto rounded = static_cast<std::uint32_t>(std::lround(GroupsForService(groupsOfWork)));
-  return groupsOfWork > 0 ? std::max(rounded, 1U) : 0;
+  // Rounds to the nearest number: rounding up would use a whole group for a small remainder of load
+  // and leave fewer spares for the next loss.
+  const auto rounded = static_cast<std::uint32_t>(std::lround(RequiredGroups(offeredLoad)));
+  return offeredLoad > 0 ? std::max(rounded, 1U) : 0;
 }
 
-double ServedPart(double groups, double groupsOfWork)
+double ServedFraction(double groups, double offeredLoad)
 {
-  return groupsOfWork <= 0 ? 1 : std::min(1.0, groups / GroupsForService(groupsOfWork));
+  return offeredLoad <= 0 ? 1 : std::min(1.0, groups / RequiredGroups(offeredLoad));
 }
 
 } // namespace gooseberrysail
