--- a/tests/golden/request_session_test.cpp
+++ b/tests/golden/request_session_test.cpp
@@ -1,4 +1,4 @@
-#include "support/request_world.hpp"
+#include "support/request_harness.hpp"
 
 #include <algorithm>
 #include <gmock/gmock.h>
@@ -16,19 +16,19 @@
 
 TEST(RequestSession, ARequestIsServedEndToEnd)
 {
-  RequestWorld world;
+  RequestHarness world;
   world.Story("a chat completion");
   const std::uint64_t chat = world.Chat("entry-1", false);
   world.Settle();
-  world.Target().AnswerCall(kFirst, "two rollers are free", true);
+  world.Agent().AnswerCall(kFirst, "two rollers are free", true);
   world.Settle();
   EXPECT_EQ(world.BodyOf("entry-1", chat), "two rollers are free");
   world.Story("a streamed one");
   const std::uint64_t stream = world.Chat("entry-1", true);
   world.Settle();
-  world.Target().AnswerCall("entry-1.1.2", "data: one | ", false);
+  world.Agent().AnswerCall("entry-1.1.2", "data: one | ", false);
   world.Settle();
-  world.Target().AnswerCall("entry-1.1.2", "data: two", true, false);
+  world.Agent().AnswerCall("entry-1.1.2", "data: two", true, false);
   world.Settle();
   EXPECT_EQ(world.BodyOf("entry-1", stream), "data: one | data: two");
   world.Story("what became of the first");
@@ -44,23 +44,23 @@
 // Cause: answers tied to a connection; nobody could ask for the part that was swallowed.
 TEST(RequestSession, ASilentConnectionIsResumedByteForByte)
 {
-  RequestWorld world;
+  RequestHarness world;
   const std::uint64_t chat = world.Chat("entry-1", true);
   world.Settle();
-  world.Target().AnswerCall(kFirst, "data: 1 | ", false);
+  world.Agent().AnswerCall(kFirst, "data: 1 | ", false);
   world.Settle();
   world.Story("from here on the connection swallows everything, both ways");
-  world.Swallow("entry-1", true);
-  world.Target().AnswerCall(kFirst, "data: 2 | ", false, false);
+  world.DropFrames("entry-1", true);
+  world.Agent().AnswerCall(kFirst, "data: 2 | ", false, false);
   world.Settle();
-  world.Target().AnswerCall(kFirst, "data: 3 | ", false, false);
+  world.Agent().AnswerCall(kFirst, "data: 3 | ", false, false);
   world.Settle();
   world.Story("heartbeats ran out; a new connection stands");
   world.Reconnect("entry-1");
-  world.Target().AnswerCall(kFirst, "data: 4", true, false);
+  world.Agent().AnswerCall(kFirst, "data: 4", true, false);
   world.Settle();
   EXPECT_EQ(world.BodyOf("entry-1", chat), "data: 1 | data: 2 | data: 3 | data: 4");
-  EXPECT_EQ(world.Runs(), 1U);
+  EXPECT_EQ(world.TargetCallCount(), 1U);
   world.Compare(GOOSEBERRYSAIL_SOURCE_DIR "/tests/golden/request_silent_connection.txt");
 }
 
@@ -69,24 +69,24 @@
 // Cause: frames taken in order of arrival.
 TEST(RequestSession, LateAndReversedFramesReachTheirOwnCallerWhole)
 {
-  RequestWorld world;
+  RequestHarness world;
   const std::uint64_t first = world.Chat("entry-1", true);
   const std::uint64_t second = world.Chat("entry-1", true);
   world.Settle();
   world.Story("frames of both answers arrive in reversed order, each of them twice");
-  world.shuffle = [](std::vector<FrameIn>& frames) {
+  world.rewriteAgentFrames = [](std::vector<FrameIn>& frames) {
     std::vector<FrameIn> twice = frames;
     twice.insert(twice.end(), frames.begin(), frames.end());
     std::reverse(twice.begin(), twice.end());
     frames = std::move(twice);
   };
-  world.Target().AnswerCall(kFirst, "rollers ", false);
-  world.Target().AnswerCall("entry-1.1.2", "cranes ", false);
-  world.Target().AnswerCall(kFirst, "for Monday", true, false);
-  world.Target().AnswerCall("entry-1.1.2", "for Tuesday", true, false);
+  world.Agent().AnswerCall(kFirst, "rollers ", false);
+  world.Agent().AnswerCall("entry-1.1.2", "cranes ", false);
+  world.Agent().AnswerCall(kFirst, "for Monday", true, false);
+  world.Agent().AnswerCall("entry-1.1.2", "for Tuesday", true, false);
   world.Settle();
   world.Story("the network is well again");
-  world.shuffle = nullptr;
+  world.rewriteAgentFrames = nullptr;
   world.Advance(std::chrono::seconds(1));
   EXPECT_EQ(world.BodyOf("entry-1", first), "rollers for Monday");
   EXPECT_EQ(world.BodyOf("entry-1", second), "cranes for Tuesday");
@@ -99,7 +99,7 @@
 // Cause: "unknown" told as "not run". Only what the agent has sealed can never start.
 TEST(RequestSession, NotRunIsTrueAlsoWhenTheFrameArrivesLate)
 {
-  RequestWorld world({ wire::TargetKind::Service, { "entry-1" } });
+  RequestHarness world({ wire::TargetKind::Service, { "entry-1" } });
   world.Story("the booking leaves the entry and hangs on its way");
   world.holdStarts = true;
   const std::uint64_t booking = world.Book("entry-1", "");
@@ -112,7 +112,7 @@
   world.Story("the frame arrives after all");
   world.ReleaseHeld();
   world.Settle();
-  EXPECT_EQ(world.Runs(), 0U);
+  EXPECT_EQ(world.TargetCallCount(), 0U);
   world.Compare(GOOSEBERRYSAIL_SOURCE_DIR "/tests/golden/request_not_run.txt");
 }
 
@@ -121,16 +121,16 @@
 // Cause: the new agent's ignorance taken for proof.
 TEST(RequestSession, AfterAnAgentsDeathTheOutcomeIsCut)
 {
-  RequestWorld world({ wire::TargetKind::Service, { "entry-1" } });
+  RequestHarness world({ wire::TargetKind::Service, { "entry-1" } });
   const std::uint64_t booking = world.Book("entry-1", "");
   world.Settle();
-  EXPECT_EQ(world.Runs(), 1U);
+  EXPECT_EQ(world.TargetCallCount(), 1U);
   world.Story("kill -9 of the agent; a new one with an empty memory");
   world.RestartAgent();
   EXPECT_EQ(world.StatusOf("entry-1", booking), 502U);
   EXPECT_THAT(world.BodyOf("entry-1", booking), HasSubstr(R"("outcome":"cut")"));
   world.Advance(std::chrono::seconds(2));
-  EXPECT_EQ(world.Runs(), 1U);
+  EXPECT_EQ(world.TargetCallCount(), 1U);
   world.Compare(GOOSEBERRYSAIL_SOURCE_DIR "/tests/golden/request_cut.txt");
 }
 
@@ -140,43 +140,43 @@
 // Cause: each entry, or each life of one, decides by itself whether a key is new.
 TEST(RequestSession, AKeyedBookingRunsAtMostOnce)
 {
-  RequestWorld world({ wire::TargetKind::Service, { "entry-1", "entry-2" } });
+  RequestHarness world({ wire::TargetKind::Service, { "entry-1", "entry-2" } });
   world.Story("the same key through two entries at once");
   const std::uint64_t first = world.Book("entry-1", "order-1");
   const std::uint64_t second = world.Book("entry-2", "order-1");
   world.Settle();
-  EXPECT_EQ(world.Runs(), 1U);
+  EXPECT_EQ(world.TargetCallCount(), 1U);
   EXPECT_EQ(world.StatusOf("entry-2", second), 409U);
-  world.Target().AnswerCall(kFirst, "booked 1", true);
+  world.Agent().AnswerCall(kFirst, "booked 1", true);
   world.Settle();
   EXPECT_EQ(world.BodyOf("entry-1", first), "booked 1");
   world.Story("resent: the first answer again");
   const std::uint64_t again = world.Book("entry-2", "order-1");
   world.Settle();
   EXPECT_EQ(world.BodyOf("entry-2", again), "booked 1");
-  EXPECT_EQ(world.Runs(), 1U);
+  EXPECT_EQ(world.TargetCallCount(), 1U);
 
   world.Story("entry-1 is killed while its booking runs; resent through entry-2");
   world.Book("entry-1", "order-2");
   world.Settle();
-  EXPECT_EQ(world.Runs(), 2U);
+  EXPECT_EQ(world.TargetCallCount(), 2U);
   world.RestartEntry("entry-1");
   const std::uint64_t orphan = world.Book("entry-2", "order-2");
   world.Settle();
   EXPECT_EQ(world.StatusOf("entry-2", orphan), 409U);
   EXPECT_THAT(world.BodyOf("entry-2", orphan), HasSubstr("same-key-unknown"));
-  EXPECT_EQ(world.Runs(), 2U);
+  EXPECT_EQ(world.TargetCallCount(), 2U);
 
   world.Story("the agent is killed while a booking runs; resent through the same entry");
   const std::uint64_t third = world.Book("entry-1", "order-3");
   world.Settle();
-  EXPECT_EQ(world.Runs(), 3U);
+  EXPECT_EQ(world.TargetCallCount(), 3U);
   world.RestartAgent();
   EXPECT_THAT(world.BodyOf("entry-1", third), HasSubstr(R"("outcome":"cut")"));
   const std::uint64_t resent = world.Book("entry-1", "order-3");
   world.Settle();
   EXPECT_EQ(world.StatusOf("entry-1", resent), 409U);
-  EXPECT_EQ(world.Runs(), 3U);
+  EXPECT_EQ(world.TargetCallCount(), 3U);
   world.Compare(GOOSEBERRYSAIL_SOURCE_DIR "/tests/golden/request_keyed_once.txt");
 }
 
--- a/tests/support/request_world.cpp
+++ b/tests/support/request_harness.cpp
@@ -1,4 +1,4 @@
-#include "support/request_world.hpp"
+#include "support/request_harness.hpp"
 
 #include "gooseberrysail/core/ids.hpp"
 #include "gooseberrysail/wire/envelope.hpp"
@@ -55,12 +55,12 @@
 
 } // namespace
 
-RequestWorld::RequestWorld()
-  : RequestWorld(Shape{})
+RequestHarness::RequestHarness()
+  : RequestHarness(Shape{})
 {
 }
 
-RequestWorld::RequestWorld(Shape shape)
+RequestHarness::RequestHarness(Shape shape)
   : m_shape(std::move(shape))
   , m_session(m_now)
 {
@@ -73,12 +73,12 @@
   m_recording = true;
 }
 
-void RequestWorld::Compare(const std::string& path) const
+void RequestHarness::Compare(const std::string& path) const
 {
   m_session.Compare(path);
 }
 
-void RequestWorld::StartAgent()
+void RequestHarness::StartAgent()
 {
   AgentHarness::Shape shape;
   shape.kind = m_shape.kind;
@@ -93,7 +93,7 @@
   m_agent->onOutput = [this](TimePoint, const AgentOutput& output) { TakeFromAgent(output); };
 }
 
-void RequestWorld::StartEntry(const std::string& name)
+void RequestHarness::StartEntry(const std::string& name)
 {
   EntryProcess& entry = m_entries[name];
   entry = EntryProcess{ nullptr, entry.incarnation + 1, entry.lastExchange, false, {}, {}, {} };
@@ -111,14 +111,14 @@
   ConnectAgent(name, entry);
 }
 
-void RequestWorld::ConnectAgent(const std::string& name, EntryProcess& entry)
+void RequestHarness::ConnectAgent(const std::string& name, EntryProcess& entry)
 {
   entry.inbox.push_back(PeerUp{
     ProcessId(kAgent), "agent", Incarnation(m_agentIncarnation), std::string(kAgentAddress) });
   m_agent->Give(PeerUp{ ProcessId(name), "entry", Incarnation(entry.incarnation), "" });
 }
 
-void RequestWorld::Reconnect(const std::string& name)
+void RequestHarness::Reconnect(const std::string& name)
 {
   EntryProcess& entry = m_entries.at(name);
   entry.swallow = false;
@@ -129,13 +129,13 @@
   Settle();
 }
 
-void RequestWorld::RestartEntry(const std::string& name)
+void RequestHarness::RestartEntry(const std::string& name)
 {
   StartEntry(name);
   Settle();
 }
 
-void RequestWorld::RestartAgent()
+void RequestHarness::RestartAgent()
 {
   m_formerRuns += m_agent->Calls().size();
   for (auto& [name, entry] : m_entries) {
@@ -149,7 +149,7 @@
   Settle();
 }
 
-void RequestWorld::ReleaseHeld()
+void RequestHarness::ReleaseHeld()
 {
   holdStarts = false;
   std::vector<FrameIn> held;
@@ -159,12 +159,12 @@
   }
 }
 
-std::size_t RequestWorld::Runs() const
+std::size_t RequestHarness::TargetCallCount() const
 {
   return m_formerRuns + m_agent->Calls().size();
 }
 
-void RequestWorld::Advance(Duration duration)
+void RequestHarness::Advance(Duration duration)
 {
   const TimePoint end = m_now + duration;
   while (m_now < end) {
@@ -176,10 +176,10 @@
   }
 }
 
-void RequestWorld::TickEntry(const std::string& name, EntryProcess& entry)
+void RequestHarness::TickEntry(const std::string& name, EntryProcess& entry)
 {
-  if (shuffle) {
-    shuffle(entry.fromAgent);
+  if (rewriteAgentFrames) {
+    rewriteAgentFrames(entry.fromAgent);
   }
   for (FrameIn& frame : entry.fromAgent) {
     entry.inbox.emplace_back(std::move(frame));
@@ -199,9 +199,9 @@
   }
 }
 
-void RequestWorld::TakeFromEntry(const std::string& name,
-                                 EntryProcess& entry,
-                                 const EntryOutput& output)
+void RequestHarness::TakeFromEntry(const std::string& name,
+                                   EntryProcess& entry,
+                                   const EntryOutput& output)
 {
   if (m_recording) {
     m_session.Left(m_now, name, output);
@@ -228,7 +228,7 @@
   }
 }
 
-void RequestWorld::TakeFromAgent(const AgentOutput& output)
+void RequestHarness::TakeFromAgent(const AgentOutput& output)
 {
   if (m_recording && IsAboutRequests(output)) {
     m_session.Left(m_now, kAgent, output);
@@ -245,13 +245,15 @@
 }
 
 template<class MessageT>
-void RequestWorld::FromControl(EntryProcess& entry, MessageT message)
+void RequestHarness::FromControl(EntryProcess& entry, MessageT message)
 {
   entry.inbox.push_back(
     FrameIn{ ProcessId(kControl), Incarnation(1), MakeEnvelope(std::move(message)) });
 }
 
-void RequestWorld::PlayControl(const std::string&, EntryProcess& entry, const wire::BodyUnion& body)
+void RequestHarness::PlayControl(const std::string&,
+                                 EntryProcess& entry,
+                                 const wire::BodyUnion& body)
 {
   if (const auto* query = body.AsConfigQuery()) {
     wire::ConfigStateT state = MakeCatalogueState(1);
@@ -269,7 +271,7 @@
   }
 }
 
-bool RequestWorld::IsAlive(const std::string& holder) const
+bool RequestHarness::IsAlive(const std::string& holder) const
 {
   const ProcessId process = EntryOf(RequestId(holder));
   const auto entry = m_entries.find(process.Get());
@@ -277,7 +279,7 @@
   return holder.starts_with(life);
 }
 
-wire::ClaimReplyT RequestWorld::AnswerClaim(const wire::ClaimRequestT& request)
+wire::ClaimReplyT RequestHarness::AnswerClaim(const wire::ClaimRequestT& request)
 {
   Claim& claim = m_claims[request.workspace + "/" + request.key];
   if (claim.holder.empty()) {
@@ -304,7 +306,7 @@
   return reply;
 }
 
-void RequestWorld::FinishClaim(const wire::ClaimOutcomeT& outcome)
+void RequestHarness::FinishClaim(const wire::ClaimOutcomeT& outcome)
 {
   const auto claim = m_claims.find(outcome.workspace + "/" + outcome.key);
   if (claim == m_claims.end() || claim->second.holder != outcome.request) {
@@ -318,7 +320,7 @@
   claim->second.outcome = outcome;
 }
 
-std::uint64_t RequestWorld::Call(const std::string& name, HttpRequestIn http)
+std::uint64_t RequestHarness::Call(const std::string& name, HttpRequestIn http)
 {
   EntryProcess& entry = m_entries.at(name);
   http.exchange = ExchangeId(++entry.lastExchange);
@@ -328,7 +330,7 @@
   return entry.lastExchange;
 }
 
-std::uint64_t RequestWorld::Chat(const std::string& entry, bool stream)
+std::uint64_t RequestHarness::Chat(const std::string& entry, bool stream)
 {
   HttpRequestIn http;
   http.method = "POST";
@@ -337,7 +339,7 @@
   return Call(entry, std::move(http));
 }
 
-std::uint64_t RequestWorld::Book(const std::string& entry, const std::string& key)
+std::uint64_t RequestHarness::Book(const std::string& entry, const std::string& key)
 {
   HttpRequestIn http;
   http.method = "POST";
@@ -349,7 +351,7 @@
   return Call(entry, std::move(http));
 }
 
-std::uint64_t RequestWorld::Get(const std::string& entry, const std::string& target)
+std::uint64_t RequestHarness::Get(const std::string& entry, const std::string& target)
 {
   HttpRequestIn http;
   http.method = "GET";
@@ -357,12 +359,12 @@
   return Call(entry, std::move(http));
 }
 
-const std::string& RequestWorld::BodyOf(const std::string& entry, std::uint64_t exchange)
+const std::string& RequestHarness::BodyOf(const std::string& entry, std::uint64_t exchange)
 {
   return m_entries.at(entry).callers[exchange].body;
 }
 
-unsigned RequestWorld::StatusOf(const std::string& entry, std::uint64_t exchange)
+unsigned RequestHarness::StatusOf(const std::string& entry, std::uint64_t exchange)
 {
   return m_entries.at(entry).callers[exchange].status;
 }
--- a/tests/support/request_world.hpp
+++ b/tests/support/request_harness.hpp
@@ -15,13 +15,13 @@
 /// \brief Entries and one agent, the systems of the daemon, joined under scripted time. Control and
 /// the target are played; each frame can be held back, dropped or turned round on its way.
 /// \code
-/// RequestWorld world;
+/// RequestHarness world;
 /// const std::uint64_t chat = world.Chat("entry-1", true);
-/// world.Target().AnswerCall("entry-1.1.1", "hello", true);
+/// world.Agent().AnswerCall("entry-1.1.1", "hello", true);
 /// world.Settle();
 /// EXPECT_EQ(world.BodyOf("entry-1", chat), "hello");
 /// \endcode
-class RequestWorld
+class RequestHarness
 {
 public:
   struct Shape
@@ -29,8 +29,8 @@
     wire::TargetKind kind = wire::TargetKind::Engine;
     std::vector<std::string> entries = { "entry-1" };
   };
-  RequestWorld();
-  explicit RequestWorld(Shape shape);
+  RequestHarness();
+  explicit RequestHarness(Shape shape);
 
   void Story(std::string_view what) { m_session.Story(what); }
   void Compare(const std::string& path) const;
@@ -47,7 +47,7 @@
 
   /// \brief Frames between this entry and the agent vanish, as on a connection that somebody in
   /// between has forgotten; neither end sees it.
-  void Swallow(const std::string& entry, bool swallow) { m_entries.at(entry).swallow = swallow; }
+  void DropFrames(const std::string& entry, bool swallow) { m_entries.at(entry).swallow = swallow; }
   /// \brief Both ends notice by missing heartbeats, and a new connection stands.
   void Reconnect(const std::string& entry);
   /// \brief kill -9 and a new life with an empty memory.
@@ -56,14 +56,14 @@
 
   /// \brief What happens to frames from the agent to entries before they are handed over; the
   /// default leaves them in order.
-  std::function<void(std::vector<FrameIn>&)> shuffle;
+  std::function<void(std::vector<FrameIn>&)> rewriteAgentFrames;
   /// \brief Keeps frames from entries to the agent; Release hands them over late.
   bool holdStarts = false;
   void ReleaseHeld();
 
-  [[nodiscard]] AgentHarness& Target() { return *m_agent; }
+  [[nodiscard]] AgentHarness& Agent() { return *m_agent; }
   /// \brief Calls that reached the target, over all lives of the agent.
-  [[nodiscard]] std::size_t Runs() const;
+  [[nodiscard]] std::size_t TargetCallCount() const;
 
 private:
   struct CallerView
