--- a/include/gooseberrysail/admission/admission.hpp
+++ b/include/gooseberrysail/admission/admission.hpp
@@ -17,7 +17,7 @@
   WorkspaceId workspace;
   EntryName entry;
   PriorityClass priorityClass = PriorityClass::kStandard;
-  Duration deadline{}; ///< Time left for the whole answer.
+  Duration deadline{}; ///< Time allowed for the whole answer.
   std::uint32_t expectedTokens = 0;
 };
 
@@ -33,12 +33,12 @@
 struct AdmissionDecision
 {
   RefusalReason reason = RefusalReason::kNone;
-  Duration retryAfter{}; ///< When trying again can help; only with a refusal.
+  Duration retryAfter{}; ///< Wait before a retry can succeed; only with a refusal.
   [[nodiscard]] bool Admitted() const noexcept { return reason == RefusalReason::kNone; }
 };
 
-/// \brief Decides at arrival whether a request can be served in time; shares workspace limits with
-/// the other entries through the shares that control hands out.
+/// \brief Decides on arrival whether a request can be served in time. Workspace limits are divided
+/// among the entries by the shares that control assigns.
 class Admission
 {
 public:
@@ -46,27 +46,27 @@
   ~Admission();
   Admission(Admission&&) noexcept;
 
-  /// \brief Takes over a workspace's catalogue limits.
+  /// \brief Sets a workspace's limits from the catalogue.
   void SetLimits(const WorkspaceId& workspace, const WorkspaceSpec& limits);
   void RemoveWorkspace(const WorkspaceId& workspace);
-  /// \brief This entry's part of a workspace's limits, from control.
-  /// \remarks Before the first share the whole limits apply; when shares cease to arrive the last
-  /// one stays in force and follows changes of the limits.
+  /// \brief Sets this entry's share of a workspace's limits, as assigned by control.
+  /// \remarks Before the first share the whole limits apply. When no more shares arrive the last
+  /// one stays in force, as a fraction of the limits.
   void SetShare(TimePoint now,
                 const WorkspaceId& workspace,
                 double requestsPerSecond,
                 double tokensPerSecond,
                 std::uint32_t concurrent);
-  /// \brief The open capacity known for a catalogue entry: slots over all candidates.
+  /// \brief Sets the capacity of a catalogue entry: the slots of all its candidates.
   void SetCapacity(const EntryName& entry, std::uint32_t slots);
-  /// \brief Requests in flight from all senders, as Router::Load tells; call it about every tick.
+  /// \brief Sets the requests in flight from all entries, as in Router::Load; call it each tick.
   /// \remarks Without it only this entry's own requests count against the capacity.
   void SetOccupancy(const EntryName& entry, double inFlight);
 
   [[nodiscard]] AdmissionDecision Decide(TimePoint now, const AdmissionQuery& query);
-  /// \brief When to come back, for a request that was admitted but that no group took.
+  /// \brief The wait before a retry of a request that was admitted but that no group accepted.
   [[nodiscard]] Duration RetryAfter(TimePoint now, const EntryName& entry);
-  /// \brief An admitted request ended.
+  /// \brief Accounts for the end of an admitted request.
   /// \param serviceTime From its admission to its end; zero when it did not run.
   void OnFinished(TimePoint now,
                   const WorkspaceId& workspace,
@@ -79,9 +79,9 @@
     WorkspaceId workspace;
     std::uint64_t requests = 0;
     std::uint64_t tokens = 0;
-    double demandPerSecond = 0; ///< Offered, admitted or not.
+    double demandPerSecond = 0; ///< Rate of arriving requests, admitted or not.
   };
-  /// \brief What control needs to divide the limits anew.
+  /// \brief The usage and demand by which control divides the limits.
   [[nodiscard]] std::vector<Usage> CurrentUsage(TimePoint now) const;
 
 private:
--- a/include/gooseberrysail/admission/policy.hpp
+++ b/include/gooseberrysail/admission/policy.hpp
@@ -4,19 +4,20 @@
 
 namespace gooseberrysail {
 
-/// \brief Weights and limits of an Admission; the defaults come from bench/routing.cpp.
+/// \brief Weights and limits of an Admission; the defaults were determined with bench/routing.cpp.
 struct AdmissionPolicy
 {
-  /// Longest wait for a slot, as a part of the mean service time: more only makes answers late.
-  double mostWaitPart = 0.1;
-  double standardPart = 0.6;  ///< Of the wait that interactive work may take.
-  double batchHeadroom = 0.1; ///< Part of the slots that batch work leaves free.
-  double leastFairPart = 0.1; ///< Of the wait, for a workspace far above the mean of all.
-  double burstSeconds = 1;    ///< What an idle workspace may use at once.
-  double returnPart = 0.5;    ///< Of the drain rate, promised to callers told to come back.
-  double returnJitter = 0.25; ///< Added to what they are told.
-  Duration leastRetryAfter = std::chrono::milliseconds(100);
-  Duration mostRetryAfter = std::chrono::seconds(60);
+  /// Longest wait for a slot, as a fraction of the mean service time; a longer one only delays
+  /// answers.
+  double maxWaitFraction = 0.1;
+  double standardWaitFraction = 0.6; ///< Of the wait that interactive work is allowed.
+  double batchHeadroom = 0.1;        ///< Fraction of the slots that batch work leaves free.
+  double minFairFraction = 0.1;   ///< Least part of the wait, for a workspace far above the mean.
+  double burstSeconds = 1;        ///< Burst of an idle workspace, in seconds of its rate.
+  double retryRateFraction = 0.5; ///< Fraction of the drain rate offered to retries.
+  double retryJitter = 0.25;      ///< Largest fraction added to the Retry-After.
+  Duration minRetryAfter = std::chrono::milliseconds(100);
+  Duration maxRetryAfter = std::chrono::seconds(60);
 };
 
 } // namespace gooseberrysail
--- a/include/gooseberrysail/entry/attempt_flow.hpp
+++ b/include/gooseberrysail/entry/attempt_flow.hpp
@@ -7,14 +7,16 @@
 
 namespace gooseberrysail::impl {
 
-/// \brief An attempt that said nothing for this long is asked for, in case a frame was lost
-/// unnoticed.
+/// \brief Time without frames of an attempt after which its agent is probed, in case a frame was
+/// lost without an error.
 inline constexpr Duration kProbeInterval = std::chrono::seconds(5);
 
-/// \brief Sends a request's first attempt, or ends it as not run.
+/// \brief Sends the first attempt of a request, or ends the request as not run when no group can
+/// take it.
 void StartFirstAttempt(EntryContext& context, Request& request);
 
-/// \brief The current attempt certainly never starts: sends another, or ends it as not run.
+/// \brief Handles an attempt that is certain never to start: sends another one, or ends the request
+/// as not run.
 void OnNeverStarted(EntryContext& context,
                     Request& request,
                     std::string_view why,
@@ -23,19 +25,20 @@
 void OnRefused(EntryContext& context, const ProcessId& from, const wire::RefusedT& refused);
 void OnOutput(EntryContext& context, const ProcessId& from, const wire::OutputT& output);
 
-/// \brief The request whose current attempt at `from` this is; null when it is over.
+/// \brief Finds the request whose current attempt is `attempt` at the agent `from`; null when there
+/// is none.
 [[nodiscard]] Request* FindAttempt(EntryContext& context,
                                    const ProcessId& from,
                                    std::string_view request,
                                    std::uint32_t attempt);
 
-/// \brief Asks the agent for the answer from where it broke off.
+/// \brief Requests the answer from the agent from the first missing byte on.
 void SendResume(EntryContext& context, Request& request);
-/// \brief Asks the agent to note that the attempt never starts.
+/// \brief Asks the agent to seal the attempt, so that it can never start.
 void SendSeal(EntryContext& context, Request& request);
 void SendCancel(EntryContext& context, Request& request, std::string_view why);
 
-/// \brief Acknowledges what arrived in this tick, one frame an attempt.
+/// \brief Acknowledges the output received in this tick with one frame per attempt.
 void FlushAcks(EntryContext& context);
 
 } // namespace gooseberrysail::impl
--- a/include/gooseberrysail/entry/attempt_recovery.hpp
+++ b/include/gooseberrysail/entry/attempt_recovery.hpp
@@ -7,21 +7,23 @@
 
 namespace gooseberrysail::impl {
 
-/// \brief Takes up the attempts at an agent to which a connection stands again.
+/// \brief Resumes the attempts at an agent that is connected again. Attempts at an earlier
+/// incarnation of the agent are cut.
 void ResumeAttempts(EntryContext& context, const PeerUp& up);
 
-/// \brief Marks the attempts at an agent whose connection is gone.
-void SilenceAttempts(EntryContext& context, const PeerDown& down);
+/// \brief Marks the attempts at an agent as disconnected and starts to redial it.
+void SuspendAttempts(EntryContext& context, const PeerDown& down);
 
 void OnSealReply(EntryContext& context, const ProcessId& from, const wire::SealReplyT& reply);
 void OnUnknownRequest(EntryContext& context,
                       const ProcessId& from,
                       const wire::UnknownRequestT& unknown);
 
-/// \brief The caller closed its connection.
+/// \brief Handles a caller that closed its connection before the end of its answer.
 void OnCallerGone(EntryContext& context, ExchangeId exchange);
 
-/// \brief Deadlines, agents that stay away, answers that don't come.
+/// \brief Enforces deadlines, redials agents that are disconnected and probes those that send
+/// nothing.
 void SweepRequests(EntryContext& context);
 
 } // namespace gooseberrysail::impl
--- a/include/gooseberrysail/entry/caller_answer.hpp
+++ b/include/gooseberrysail/entry/caller_answer.hpp
@@ -13,42 +13,42 @@
 
 namespace gooseberrysail {
 
-/// \brief An answer that is the system's own, not a target's.
+/// \brief An error answer that this entry makes itself, as opposed to one of a target.
 struct CallerError
 {
   unsigned status = 500;
   Outcome outcome = Outcome::kNotRun;
   std::string_view type; ///< Such as `invalid_request`.
   std::string reason;
-  std::string message;                ///< One sentence for a person.
-  std::optional<Duration> retryAfter; ///< Where a retry can help.
+  std::string message;                ///< One sentence for a human reader.
+  std::optional<Duration> retryAfter; ///< Set when a retry can succeed.
   RequestId holder;                   ///< The request that holds the same idempotency key.
 };
 
 /// \brief `{"error":{"message","type","outcome","reason","requestId"}}`.
 [[nodiscard]] std::string ErrorBody(const CallerError& error, const RequestId& request);
 
-/// \brief The whole error answer, with `X-Request-Id` and `Retry-After`.
+/// \brief Makes a complete error answer, with `X-Request-Id` and `Retry-After`.
 [[nodiscard]] HttpAnswerOut MakeErrorAnswer(ExchangeId exchange,
                                             const CallerError& error,
                                             const RequestId& request);
 
-/// \brief A whole JSON answer of the system's own.
+/// \brief Makes a complete JSON answer.
 [[nodiscard]] HttpAnswerOut MakeJsonAnswer(ExchangeId exchange,
                                            unsigned status,
                                            std::string body,
                                            const RequestId& request);
 
-/// \brief The last event of a streamed answer that was cut: without it, a client that takes the
-/// closed connection for the end of the stream would use half an answer.
-[[nodiscard]] std::string CutStreamEvent(const CallerError& error, const RequestId& request);
+/// \brief Makes the last event of a streamed answer that was cut. Without it, a client that treats
+/// a closed connection as the end of the stream would use an incomplete answer.
+[[nodiscard]] std::string StreamErrorEvent(const CallerError& error, const RequestId& request);
 
-/// \brief A target's headers as the caller gets them.
+/// \brief The target's headers to pass on, without hop-by-hop headers, and `X-Request-Id`.
 [[nodiscard]] std::vector<HttpHeader> AnswerHeaders(
   const std::vector<std::unique_ptr<wire::HeaderT>>& headers,
   const RequestId& request);
 
-/// \brief A record for people and programs.
+/// \brief A request's record as JSON.
 [[nodiscard]] std::string RecordJson(const wire::RequestRecordT& record);
 
 } // namespace gooseberrysail
--- a/include/gooseberrysail/entry/caller_api.hpp
+++ b/include/gooseberrysail/entry/caller_api.hpp
@@ -20,15 +20,15 @@
 inline constexpr std::size_t kMaxIdempotencyKeyBytes = 200;
 inline constexpr std::uint32_t kDefaultExpectedTokens = 256;
 
-/// \brief A call of a model or a plain service, as the caller meant it.
+/// \brief A parsed call of a model or of a plain service.
 struct TargetCall
 {
   wire::EntryKind kind = wire::EntryKind::Model;
   EntryName entry;
-  std::string path; ///< At the target, with query.
+  std::string path; ///< Path at the target, with its query.
   bool stream = false;
   std::uint32_t expectedTokens = 0;
-  std::vector<std::uint64_t> prefixHashes; ///< Of each further prompt block, shortest first.
+  std::vector<std::uint64_t> prefixHashes; ///< Hashes of the prompt's prefixes, shortest first.
   std::size_t promptBytes = 0;
 };
 
@@ -50,24 +50,25 @@
 using CallerCall =
   std::variant<TargetCall, ListModelsCall, RequestLookupCall, HealthCall, ReadyCall>;
 
-/// \brief Reads what a caller wants from method, path and, for models, the JSON body.
-/// \returns kNotFound for an unknown path, kConflict for a wrong method, kTooLarge over a limit,
+/// \brief Parses a request by its method, its path and, for models, its JSON body.
+/// \returns kNotFound for an unknown path, kConflict for a wrong method, kTooLarge above a limit,
 /// kInvalid for a malformed body or header.
 [[nodiscard]] Result<CallerCall> ParseCall(const HttpRequestIn& request);
 
-/// \brief Headers that steer the system itself.
+/// \brief Options that a caller sets by headers of its request.
 struct CallerOptions
 {
   std::string idempotencyKey;       ///< "" when absent.
-  std::optional<Duration> deadline; ///< `X-Deadline-Ms`: time left for the whole answer.
+  std::optional<Duration> deadline; ///< `X-Deadline-Ms`: time allowed for the whole answer.
 };
 
 [[nodiscard]] Result<CallerOptions> ParseOptions(const HttpRequestIn& request);
 
-/// \brief Whether a header concerns one connection only, or is ours, and isn't passed on.
+/// \brief Whether a header isn't forwarded: it belongs to one connection, or is used by this system
+/// itself.
 [[nodiscard]] bool IsHopHeader(std::string_view name) noexcept;
 
-/// \brief Tells apart different requests under one idempotency key.
+/// \brief Hashes method, target and body, to detect different requests under one idempotency key.
 [[nodiscard]] std::uint64_t HashRequest(const HttpRequestIn& request) noexcept;
 
 } // namespace gooseberrysail
--- a/include/gooseberrysail/entry/caller_stream.hpp
+++ b/include/gooseberrysail/entry/caller_stream.hpp
@@ -6,14 +6,16 @@
 
 namespace gooseberrysail::impl {
 
-/// \brief Passes a fresh part of the target's answer on to the caller and keeps it for the claim.
+/// \brief Forwards new output of the target to the caller and, for a keyed request, captures it for
+/// the claim.
 void ForwardOutput(EntryContext& context,
                    Request& request,
-                   const FittedOutput& fitted,
+                   const ReassembledOutput& reassembled,
                    const wire::OutputT& output);
 
-/// \brief Ends the caller's answer with an error: as a whole answer while nothing was sent, else so
-/// that the caller can see that the answer isn't whole.
-void TellError(EntryContext& context, Request& request, const CallerError& error);
+/// \brief Ends the caller's answer with an error. Sends a complete error answer while no headers
+/// were sent; otherwise aborts the connection, after an error event in an event stream, so that the
+/// caller can detect that the answer is incomplete.
+void SendError(EntryContext& context, Request& request, const CallerError& error);
 
 } // namespace gooseberrysail::impl
--- a/include/gooseberrysail/entry/catalogue_client.hpp
+++ b/include/gooseberrysail/entry/catalogue_client.hpp
@@ -15,8 +15,8 @@
 
 namespace gooseberrysail {
 
-/// \brief Keeps the catalogue copy at the newest committed version, and knows how old the latest
-/// proof of that is.
+/// \brief Keeps the catalogue copy at the newest committed version, and tracks when a control
+/// process last confirmed it.
 class CatalogueClient
 {
 public:
@@ -24,26 +24,27 @@
 
   explicit CatalogueClient(std::vector<EntrySettings::Control> controls);
 
-  /// \brief Asks when it is time to, and turns to the next control when this one is silent.
+  /// \brief Sends a query when one is due, and switches to the next control process when the
+  /// current one doesn't answer in time.
   void Tick(TimePoint now, const Send& send);
 
-  /// \brief Asks at once: somebody has a newer version.
-  void Hurry() noexcept { m_nextQuery = TimePoint{}; }
+  /// \brief Makes the next Tick send a query, such as when a peer has a newer version.
+  void QueryNow() noexcept { m_nextQuery = TimePoint{}; }
 
-  /// \brief The connection with a control process ended.
+  /// \brief Switches to the next control process when the connection with the current one ended.
   void OnPeerDown(const ProcessId& peer);
 
-  /// \brief An answer of a control process.
-  /// \returns Whether the catalogue copy moved on.
+  /// \brief Applies an answer of a control process to the catalogue copy.
+  /// \returns Whether the copy changed to a newer version.
   [[nodiscard]] Result<bool> OnState(const ProcessId& from,
                                      const wire::ConfigStateT& state,
                                      Catalogue& catalogue);
 
-  /// \brief The control process that answers; claims and reports go to it too.
+  /// \brief The control process in use, for queries, claims and reports.
   [[nodiscard]] const EntrySettings::Control& Current() const { return m_controls[m_current]; }
   [[nodiscard]] bool IsControl(const ProcessId& peer) const;
 
-  /// \returns None before the first proof.
+  /// \returns None before the first confirmation.
   [[nodiscard]] std::optional<Duration> ConfirmationAge(TimePoint now) const;
   [[nodiscard]] bool Confirmed(TimePoint now, const PolicySpec& policy) const;
 
@@ -51,13 +52,13 @@
   static constexpr Duration kAnswerTimeout = std::chrono::milliseconds(500);
 
 private:
-  struct Asked
+  struct SentQuery
   {
     std::uint64_t nonce = 0;
     TimePoint at{};
   };
 
-  void TurnToNext();
+  void SwitchToNextControl();
   [[nodiscard]] std::optional<TimePoint> SentAt(std::uint64_t nonce) const;
 
   std::vector<EntrySettings::Control> m_controls;
@@ -65,9 +66,9 @@
   LogIndex m_haveVersion;
   std::uint64_t m_nextNonce = 1;
   TimePoint m_nextQuery{};
-  bool m_waiting = false;
-  TimePoint m_lastAsked{};
-  std::deque<Asked> m_asked; ///< Latest last, bounded.
+  bool m_awaitingReply = false;
+  TimePoint m_lastQueryAt{};
+  std::deque<SentQuery> m_sentQueries; ///< Oldest first, at most kMaxSentQueries.
   std::optional<TimePoint> m_confirmedAt;
 };
 
--- a/include/gooseberrysail/entry/claim_flow.hpp
+++ b/include/gooseberrysail/entry/claim_flow.hpp
@@ -6,10 +6,12 @@
 
 namespace gooseberrysail::impl {
 
-/// \brief Asks control for the right to run a keyed request; nothing leaves before it is granted.
-void AskClaim(EntryContext& context, Request& request);
+/// \brief Requests the claim of a keyed request from control. The request is sent to no agent
+/// before the claim is granted.
+void RequestClaim(EntryContext& context, Request& request);
 
-/// \brief Runs the request, or answers what became of the run that holds its key.
+/// \brief Starts the request when its claim is granted; otherwise answers with the state of the
+/// request that holds the key.
 void OnClaimReply(EntryContext& context, const wire::ClaimReplyT& reply);
 
 } // namespace gooseberrysail::impl
--- a/include/gooseberrysail/entry/claims_client.hpp
+++ b/include/gooseberrysail/entry/claims_client.hpp
@@ -12,9 +12,10 @@
 
 namespace gooseberrysail {
 
-/// \brief Asks control for claims and reports their outcomes, again and again until answered.
-/// \remarks Control forgets nothing that it acknowledged, so resending is harmless: the same
-/// request id gets the same reply.
+/// \brief Sends claim requests and claim outcomes to control, and resends each until it is
+/// answered.
+/// \remarks Resending is safe: control keeps everything that it acknowledged, so the same request
+/// id gets the same reply.
 class ClaimsClient
 {
 public:
@@ -25,14 +26,14 @@
   };
 
   void Ask(wire::ClaimRequestT claim);
-  /// \brief A reply arrived or nobody waits for it any more.
+  /// \brief Stops resending a claim request: its reply arrived or is no longer needed.
   void StopAsking(std::string_view request);
 
-  /// \brief Reports how the claimed run ended.
+  /// \brief Reports the outcome of a claimed request; also stops a claim request that is pending.
   void Report(wire::ClaimOutcomeT outcome);
   void OnOutcomeAck(std::string_view request);
 
-  /// \brief Sends what is new and what has waited for its answer too long.
+  /// \brief Sends new messages, and resends those unanswered for kResendInterval.
   void Tick(TimePoint now, const Sender& sender);
 
   /// \brief Outcomes that control hasn't acknowledged.
@@ -49,7 +50,7 @@
   };
   std::map<std::string, Pending<wire::ClaimRequestT>, std::less<>> m_claims;
   std::map<std::string, Pending<wire::ClaimOutcomeT>, std::less<>> m_outcomes;
-  TimePoint m_nextDue{}; ///< Nothing is due before; spares a walk over the tables on each tick.
+  TimePoint m_nextDue{}; ///< Earliest time at which a message is due; saves a scan on each tick.
 };
 
 } // namespace gooseberrysail
--- a/include/gooseberrysail/entry/configuration_flow.hpp
+++ b/include/gooseberrysail/entry/configuration_flow.hpp
@@ -6,7 +6,8 @@
 
 namespace gooseberrysail::impl {
 
-/// \brief Keeps the catalogue, and what is derived from it, current.
+/// \brief Keeps the catalogue and the routes, limits and capacities derived from control's messages
+/// up to date.
 class ConfigurationFlow
 {
 public:
@@ -18,7 +19,7 @@
                        const wire::RoutesUpdateT& update);
   static void OnShares(EntryContext& context, const wire::ShareUpdateT& update);
 
-  /// \brief Asks for confirmation and notes when it lapses.
+  /// \brief Queries control for confirmation, and emits an event when it lapses or is restored.
   void Tick(EntryContext& context);
 
 private:
@@ -26,10 +27,10 @@
   bool m_everConfirmed = false;
 };
 
-/// \brief Tells admission how much the open groups can take.
+/// \brief Passes the capacity of the open groups to admission.
 void UpdateCapacity(EntryContext& context);
 
-/// \brief Tells admission how many requests of all senders are in flight, as the groups report.
+/// \brief Passes the requests in flight from all entries, as the groups report them, to admission.
 void UpdateOccupancy(EntryContext& context);
 
 } // namespace gooseberrysail::impl
--- a/include/gooseberrysail/entry/connected_peers.hpp
+++ b/include/gooseberrysail/entry/connected_peers.hpp
@@ -8,7 +8,7 @@
 
 namespace gooseberrysail {
 
-/// \brief A process with which a connection stands.
+/// \brief A process to which this one is connected.
 struct Peer
 {
   std::string role;
@@ -16,13 +16,14 @@
   std::string address;
 };
 
-/// \brief Which processes are connected now.
+/// \brief The processes that are connected at present.
 class ConnectedPeers
 {
 public:
   void OnUp(const PeerUp& up) { m_peers[up.peer] = { up.role, up.incarnation, up.address }; }
 
-  /// \returns Whether the peer is without connection now; false when a newer life of it stands.
+  /// \returns Whether the peer is disconnected now; false when another incarnation of it is
+  /// connected.
   bool OnDown(const PeerDown& down)
   {
     const auto found = m_peers.find(down.peer);
--- a/include/gooseberrysail/entry/control_reports.hpp
+++ b/include/gooseberrysail/entry/control_reports.hpp
@@ -4,7 +4,7 @@
 
 namespace gooseberrysail::impl {
 
-/// \brief Tells control which catalogue version is in force here and how much each workspace used.
+/// \brief Reports to control the catalogue version in force here and the usage of each workspace.
 class ControlReports
 {
 public:
--- a/include/gooseberrysail/entry/entry_context.hpp
+++ b/include/gooseberrysail/entry/entry_context.hpp
@@ -20,7 +20,7 @@
 
 namespace gooseberrysail::impl {
 
-/// \brief The entry's tables, and what its systems need at a tick.
+/// \brief State shared by the parts of the entry role, and the input and output of a tick.
 struct EntryContext
 {
   EntryContext(EntrySettings entrySettings, RoleHooks roleHooks);
@@ -40,8 +40,8 @@
   std::vector<RequestId> acksDue;
   bool stopping = false;
 
-  TimePoint now{};                            ///< Of the current tick.
-  std::vector<EntryOutput>* outbox = nullptr; ///< Of the current tick.
+  TimePoint now{};                            ///< Time of the current tick.
+  std::vector<EntryOutput>* outbox = nullptr; ///< Output of the current tick.
 
   [[nodiscard]] RequestId NextRequestId();
 
--- a/include/gooseberrysail/entry/intake.hpp
+++ b/include/gooseberrysail/entry/intake.hpp
@@ -6,7 +6,8 @@
 
 namespace gooseberrysail::impl {
 
-/// \brief Answers a caller's request or turns it into one in flight.
+/// \brief Validates, authenticates and admits a caller's request: answers it, or starts to serve
+/// it.
 void OnHttpRequest(EntryContext& context, RequestLookups& lookups, const HttpRequestIn& http);
 
 } // namespace gooseberrysail::impl
--- a/include/gooseberrysail/entry/outcome.hpp
+++ b/include/gooseberrysail/entry/outcome.hpp
@@ -4,19 +4,19 @@
 
 namespace gooseberrysail {
 
-/// \brief What is known of a request's run.
+/// \brief The known result of a request.
 enum class Outcome
 {
-  kRunning,   ///< Not over yet.
-  kCompleted, ///< The target's whole answer arrived, whatever its status.
-  kNotRun,    ///< Certainly never ran and never will.
-  kCut,       ///< It ran or may have run, and its answer is not whole.
+  kRunning,   ///< Not finished yet.
+  kCompleted, ///< The target's complete answer arrived, with any status.
+  kNotRun,    ///< Certain never to have run and never to run.
+  kCut,       ///< It ran or may have run, and its answer is incomplete.
 };
 
-/// \brief The word used in answers and records: `running`, `completed`, `not-run`, `cut`.
+/// \brief The name used in answers and records: `running`, `completed`, `not-run`, `cut`.
 [[nodiscard]] std::string_view ToString(Outcome outcome) noexcept;
 
-/// \brief Reasons told beside an outcome; docs/operators/requests.md explains each.
+/// \brief Reasons given with an outcome; docs/operators/requests.md explains each.
 namespace reason {
 inline constexpr std::string_view kBadRequest = "bad-request";
 inline constexpr std::string_view kUnauthorized = "unauthorized";
--- a/include/gooseberrysail/entry/outcome_records.hpp
+++ b/include/gooseberrysail/entry/outcome_records.hpp
@@ -13,19 +13,20 @@
 
 namespace gooseberrysail {
 
-/// \brief What became of each request, for a bounded number and time.
-/// \remarks Records of requests in flight are never dropped; of the finished ones the oldest goes
-/// first.
+/// \brief The record of each request, bounded in number and age.
+/// \remarks Records of requests in flight are never removed; of the finished ones the oldest is
+/// removed first.
 class OutcomeRecords
 {
 public:
-  OutcomeRecords(std::size_t maxFinished, Duration keepFor);
+  OutcomeRecords(std::size_t maxFinished, Duration retention);
 
   wire::RequestRecordT& Open(wire::RequestRecordT record);
   [[nodiscard]] wire::RequestRecordT* Find(std::string_view request);
   [[nodiscard]] const wire::RequestRecordT* Find(std::string_view request) const;
 
-  /// \brief The request is over as far as its caller is concerned.
+  /// \brief Records the final answer to the caller. Later calls for the same request have no
+  /// effect.
   void Close(TimePoint now,
              std::string_view request,
              Outcome outcome,
@@ -33,7 +34,7 @@
              std::uint32_t status,
              WallMillis endedMillis);
 
-  /// \brief What truly happened became known after the caller's answer.
+  /// \brief Corrects the outcome when it becomes known after the caller was answered.
   void Amend(std::string_view request, Outcome outcome, std::string_view why);
 
   void Expire(TimePoint now);
@@ -46,7 +47,7 @@
     std::string request;
   };
   std::size_t m_maxFinished;
-  Duration m_keepFor;
+  Duration m_retention;
   std::unordered_map<std::string, wire::RequestRecordT> m_records;
   std::deque<Closed> m_closed; ///< Oldest first.
 };
--- a/include/gooseberrysail/entry/output_order.hpp
+++ b/include/gooseberrysail/entry/output_order.hpp
@@ -7,23 +7,24 @@
 
 namespace gooseberrysail {
 
-/// \brief What a frame of an answer adds to what was taken over before.
-struct FittedOutput
+/// \brief What an output frame adds to the part of the answer that was received before.
+struct ReassembledOutput
 {
-  enum class Fit
+  enum class Kind
   {
-    kFresh,     ///< Continues the answer; `bytes` and `end` are new.
-    kDuplicate, ///< Everything in it is known.
-    kGap,       ///< Something before it is missing; nothing of it is used.
+    kNew,       ///< Continues the answer; `bytes` and `end` are new.
+    kDuplicate, ///< Adds nothing to what was received.
+    kGap,       ///< Output before it is missing; the frame is discarded.
   };
-  Fit fit = Fit::kDuplicate;
-  bool head = false; ///< Carries status and headers for the first time.
+  Kind kind = Kind::kDuplicate;
+  bool startsAnswer = false; ///< Carries status and headers for the first time.
   std::string_view bytes;
   bool end = false;
 };
 
-/// \brief Places a frame by its offset. Frames that arrive twice, overlap or come too early can't
-/// change the answer.
-[[nodiscard]] FittedOutput FitOutput(const Attempt& attempt, const wire::OutputT& output) noexcept;
+/// \brief Compares a frame with the next expected offset. Frames that are duplicated, overlap or
+/// arrive out of order can't change the answer.
+[[nodiscard]] ReassembledOutput ReassembleOutput(const Attempt& attempt,
+                                                 const wire::OutputT& output) noexcept;
 
 } // namespace gooseberrysail
--- a/include/gooseberrysail/entry/request.hpp
+++ b/include/gooseberrysail/entry/request.hpp
@@ -14,55 +14,56 @@
 
 namespace gooseberrysail {
 
-/// \brief What the entry does about an attempt at the moment.
+/// \brief State of the current attempt.
 enum class AttemptState
 {
-  kLive,    ///< The connection with the agent stands.
-  kSilent,  ///< The connection is gone; the attempt is taken up again on the next one.
-  kSealing, ///< The agent was asked to note that it never starts.
+  kConnected,    ///< The agent is connected.
+  kDisconnected, ///< The agent is disconnected; the attempt is resumed on the next connection.
+  kSealing,      ///< The agent was asked to seal it, so that it can never start.
 };
 
-/// \brief One sending of a request to one agent.
+/// \brief One attempt to run a request, sent to one agent.
 struct Attempt
 {
   std::uint32_t number = 0; ///< From 1.
   GroupId group;
   Epoch epoch;
   ProcessId head;
-  Incarnation incarnation; ///< Of the head's agent.
+  Incarnation incarnation; ///< Incarnation of the head's agent.
   std::string address;
-  AttemptState state = AttemptState::kLive;
+  AttemptState state = AttemptState::kConnected;
   TimePoint sentAt{};
-  TimePoint silentSince{};
-  TimePoint askAgainAt{};       ///< When Resume or Seal goes out once more.
-  TimePoint gapAskAt{};         ///< Before this, a gap isn't asked for once more.
-  std::uint64_t nextOffset = 0; ///< Bytes of the answer taken over.
-  bool headSeen = false;        ///< Status and headers arrived: the target has started.
+  TimePoint disconnectedAt{};
+  TimePoint nextProbeAt{};      ///< When Resume or Seal is resent, or the agent redialled.
+  TimePoint nextGapResumeAt{};  ///< Earliest time of the next Resume because of a gap.
+  std::uint64_t nextOffset = 0; ///< Bytes of the answer received in order.
+  bool headersReceived = false; ///< Status and headers arrived, so the target has started.
   bool cancelled = false;
   bool ackDue = false;
 };
 
 enum class RequestStage
 {
-  kClaiming, ///< Waits for control to grant the claim; no byte has left.
+  kClaiming, ///< Waits for control to grant the claim; nothing was sent to an agent.
   kAttempting,
-  kResolving, ///< The caller got its final answer; what truly happened is still being found out.
+  kResolving, ///< The caller got its final answer; the agent is still asked for the outcome.
 };
 
-/// \brief How far the answer to the caller has got.
-struct CallerSide
+/// \brief State of the answer to the caller.
+struct CallerResponse
 {
   ExchangeId exchange;
-  bool waiting = true; ///< Has not got its last byte and has not left.
-  bool headSent = false;
+  bool waiting = true; ///< Not fully answered and still connected.
+  bool headersSent = false;
   bool eventStream = false;
-  bool holdBack = false; ///< A short answer is sent whole, so that a cut one becomes a clear error.
+  /// \brief Short answers are sent only when complete, so that a cut one can become an error.
+  bool bufferUntilEnd = false;
   unsigned status = 0;
   std::vector<HttpHeader> headers;
-  std::string held;
+  std::string buffered;
 };
 
-/// \brief The answer kept for the claim, as long as it is small enough.
+/// \brief The answer that is stored with the claim, unless it is too large.
 struct CapturedAnswer
 {
   unsigned status = 0;
@@ -77,25 +78,26 @@
   RequestId id;
   WorkspaceId workspace;
   EntryName entry;
-  std::string key;            ///< Idempotency key, "" when none.
-  std::uint64_t bodyHash = 0; ///< Tells apart requests under one key.
-  /// \brief May be cancelled and asked again; false for keyed and for non-repeatable calls.
+  std::string key;            ///< Idempotency key; empty when there is none.
+  std::uint64_t bodyHash = 0; ///< Detects different requests under one key.
+  /// \brief May be cancelled and repeated; false for keyed and for non-repeatable calls.
   bool repeatable = true;
   RequestStage stage = RequestStage::kAttempting;
-  bool closed = false; ///< Counted as over for its caller: in the record and for admission.
+  bool closed = false; ///< The caller's answer is final: in the record and for admission.
   TimePoint received{};
   TimePoint deadline{};
-  TimePoint resolveUntil{}; ///< With kResolving: when finding out ends.
-  /// \brief What is sent to agents; dropped once the target has started, as it can't be sent again.
+  TimePoint resolveDeadline{}; ///< In kResolving: when the outcome is no longer waited for.
+  /// \brief The message sent to agents; released once the target has started, as it is never resent
+  /// then.
   std::unique_ptr<wire::StartT> start;
   std::vector<std::uint64_t> prefixHashes;
   std::size_t promptBytes = 0;
   std::vector<GroupId> tried;
   std::uint32_t attempts = 0;
   std::optional<Attempt> attempt;
-  CallerSide caller;
+  CallerResponse caller;
   std::unique_ptr<CapturedAnswer> captured; ///< Keyed requests only.
-  std::uint32_t tokens = 0;                 ///< Seen in the answer so far.
+  std::uint32_t tokens = 0;                 ///< Counted in the answer so far.
 };
 
 } // namespace gooseberrysail
--- a/include/gooseberrysail/entry/request_end.hpp
+++ b/include/gooseberrysail/entry/request_end.hpp
@@ -7,29 +7,33 @@
 
 namespace gooseberrysail::impl {
 
-/// \brief The target's whole answer went to the caller. The request leaves the table.
+/// \brief Ends a request whose complete answer arrived, and removes it from the table.
 void EndCompleted(EntryContext& context, Request& request);
 
-/// \brief It certainly never ran and never will. The request leaves the table.
-/// \remarks Only for requests of which no byte left, or whose attempts were all refused or sealed.
+/// \brief Ends a request that is certain never to run, and removes it from the table.
+/// \remarks Only for requests that were sent to no agent, or whose attempts were all refused or
+/// sealed.
 void EndNotRun(EntryContext& context, Request& request, CallerError error);
 
-/// \brief It ran or may have run, and no more is to be found out. The request leaves the table.
+/// \brief Ends a request that ran or may have run and whose outcome can't be learnt any more, and
+/// removes it from the table.
 void EndCut(EntryContext& context, Request& request, std::string_view why);
 
-/// \brief The caller is told `cut` at once; the request stays until what happened is known.
+/// \brief Answers the caller with outcome `cut` at once; keeps the request until its real outcome
+/// is known or a time limit passes.
 void AnswerCutAndResolve(EntryContext& context, Request& request, std::string_view why);
 
-/// \brief Answers that end a claim's waiting: they tell of another request, this one never ran.
-void EndByOtherClaim(EntryContext& context, Request& request, std::string_view why);
+/// \brief Ends a request that never ran because another request holds its idempotency key; the
+/// caller was answered with the state of that one.
+void EndAsDuplicate(EntryContext& context, Request& request, std::string_view why);
 
-/// \brief Notes the end of the current attempt in the record and tells the router.
+/// \brief Records the end of the current attempt and reports its result to the router.
 void CloseAttempt(EntryContext& context,
                   Request& request,
                   AttemptResult result,
                   std::string_view detail);
 
-/// \brief What a caller is told when its answer is not whole.
+/// \brief The error sent to a caller whose answer is incomplete.
 [[nodiscard]] CallerError CutError(const Request& request, std::string_view why);
 
 } // namespace gooseberrysail::impl
--- a/include/gooseberrysail/entry/request_lookups.hpp
+++ b/include/gooseberrysail/entry/request_lookups.hpp
@@ -10,8 +10,8 @@
 
 namespace gooseberrysail::impl {
 
-/// \brief Tells what became of a request: from the own records, or asked of the entry that the id
-/// names, over the control process where no connection with that entry stands.
+/// \brief Looks up the record of a request: in this entry's records, or at the entry that the id
+/// names. The query goes through the control process when that entry isn't connected.
 class RequestLookups
 {
 public:
@@ -22,27 +22,27 @@
               const RequestId& wanted,
               const WorkspaceId& workspace);
 
-  /// \brief Another process asks. An empty workspace is an operator's.
+  /// \brief Answers a query of another process. An empty workspace means an operator's query.
   static void OnQuery(EntryContext& context,
                       const ProcessId& from,
                       const wire::RequestQueryT& query);
   void OnAnswer(EntryContext& context, const wire::RequestAnswerT& answer);
   void OnCallerGone(ExchangeId exchange);
 
-  /// \brief Ends the questions that nobody answered.
+  /// \brief Answers lookups that timed out with an error.
   void Tick(EntryContext& context);
-  [[nodiscard]] bool Empty() const noexcept { return m_waiting.empty(); }
+  [[nodiscard]] bool Empty() const noexcept { return m_pending.empty(); }
 
 private:
-  struct Waiting
+  struct PendingLookup
   {
     ExchangeId exchange;
     RequestId own;
     RequestId wanted;
-    TimePoint until{};
+    TimePoint expiresAt{};
   };
   std::uint64_t m_lastNonce = 0;
-  std::map<std::uint64_t, Waiting> m_waiting;
+  std::map<std::uint64_t, PendingLookup> m_pending;
 };
 
 } // namespace gooseberrysail::impl
--- a/include/gooseberrysail/entry/request_table.hpp
+++ b/include/gooseberrysail/entry/request_table.hpp
@@ -18,34 +18,34 @@
   Request& Insert(Request request);
   void Erase(const RequestId& id);
 
-  /// \returns Null when the request is over or was never known.
+  /// \returns Null when the request has ended or is unknown.
   [[nodiscard]] Request* Find(std::string_view id);
   [[nodiscard]] Request* FindByExchange(ExchangeId exchange);
 
-  /// \brief Ids of the requests that a sweep is about, in order of arrival: it may erase rows, and
-  /// is the same on every run.
+  /// \brief Ids of the requests that match, in order of arrival. The caller may erase rows while it
+  /// goes through them, and the order is deterministic.
   template<class Predicate>
   [[nodiscard]] std::vector<RequestId> IdsWhere(const Predicate& wanted) const
   {
-    // Most sweeps are about few rows; copying and sorting the ids of all cost more than the
-    // requests themselves.
+    // Only matching ids are copied and sorted: few rows match as a rule, and sorting all of them
+    // cost more than serving the requests.
     std::vector<std::pair<std::uint64_t, RequestId>> found;
     for (const auto& [id, row] : m_rows) {
       if (wanted(row.request)) {
         found.emplace_back(row.order, row.request.id);
       }
     }
-    return InOrder(std::move(found));
+    return SortByArrival(std::move(found));
   }
   [[nodiscard]] std::size_t Size() const noexcept { return m_rows.size(); }
-  /// \brief Requests whose caller still waits.
-  [[nodiscard]] std::size_t Waiting() const noexcept { return m_byExchange.size(); }
+  /// \brief Number of requests whose caller is not fully answered.
+  [[nodiscard]] std::size_t WaitingCallers() const noexcept { return m_byExchange.size(); }
 
-  /// \brief The caller has its last byte or has left: its exchange number means nothing any more.
-  void ForgetCaller(Request& request);
+  /// \brief Unlinks the caller's exchange, after its last byte was sent or its connection closed.
+  void DetachCaller(Request& request);
 
 private:
-  [[nodiscard]] static std::vector<RequestId> InOrder(
+  [[nodiscard]] static std::vector<RequestId> SortByArrival(
     std::vector<std::pair<std::uint64_t, RequestId>> found);
 
   struct Row
--- a/include/gooseberrysail/entry/route_client.hpp
+++ b/include/gooseberrysail/entry/route_client.hpp
@@ -13,17 +13,18 @@
 
 namespace gooseberrysail {
 
-/// \brief The groups control told of. The router gets those that are open and whose head's agent is
-/// connected, so that a choice never waits for a connection.
+/// \brief The groups announced by control. The router gets only those that are open and whose
+/// head's agent is connected, so that a chosen group can be used at once.
 class RouteClient
 {
 public:
   using Dial = std::function<void(const ProcessId& peer, const std::string& address)>;
 
-  /// \brief Takes over an update of `from`.
-  /// \returns Whether it counts, so that it can be acknowledged.
-  /// \remarks Changes count only after a whole list of the same control process: after a change of
-  /// leader, the former one's changes would mix with the new one's list.
+  /// \brief Applies an update of the control process `from`.
+  /// \returns Whether it was applied and is to be acknowledged.
+  /// \remarks Incremental changes are applied only after a whole list of the same control process:
+  /// after a change of leader, changes of the previous leader would mix with the list of the new
+  /// one.
   [[nodiscard]] bool OnUpdate(const ProcessId& from,
                               const wire::RoutesUpdateT& update,
                               const ConnectedPeers& peers,
@@ -32,12 +33,12 @@
   void OnPeerUp(const ProcessId& head, Router& router);
   void OnPeerDown(const ProcessId& head, Router& router);
 
-  /// \brief Dials heads without connection.
+  /// \brief Dials heads of open groups that are not connected.
   void Tick(TimePoint now, const ConnectedPeers& peers, const Dial& dial);
 
   [[nodiscard]] const RouteCandidate* Find(GroupId group) const;
-  /// \brief Open groups of a catalogue entry, connected or not.
-  [[nodiscard]] std::size_t OpenCount(const EntryName& entry) const;
+  /// \brief Number of open groups of a catalogue entry, connected or not.
+  [[nodiscard]] std::size_t CountOpen(const EntryName& entry) const;
 
   static constexpr Duration kDialInterval = std::chrono::seconds(1);
 
@@ -48,9 +49,9 @@
     wire::RouteState state = wire::RouteState::Open;
   };
 
-  void Take(const wire::RouteT& route, const ConnectedPeers& peers, Router& router);
-  void Drop(GroupId group, Router& router);
-  void DropUnlisted(const wire::RoutesUpdateT& update, Router& router);
+  void ApplyRoute(const wire::RouteT& route, const ConnectedPeers& peers, Router& router);
+  void RemoveRoute(GroupId group, Router& router);
+  void RemoveUnlisted(const wire::RoutesUpdateT& update, Router& router);
 
   ProcessId m_source;
   std::map<GroupId, Row> m_rows;
--- a/include/gooseberrysail/roles/entry_role.hpp
+++ b/include/gooseberrysail/roles/entry_role.hpp
@@ -12,12 +12,12 @@
 
 namespace gooseberrysail {
 
-/// \brief What an entry knows of itself and its surroundings from its settings.
+/// \brief Settings of an entry process.
 struct EntrySettings
 {
   ProcessId process;
   Incarnation incarnation;
-  std::string address; ///< Where it listens for peers, "ip:port".
+  std::string address; ///< Listen address for peers, "ip:port".
   FailureDomainId failureDomain;
   struct Control
   {
@@ -26,18 +26,18 @@
   };
   std::vector<Control> controls; ///< Every configured control process.
   std::size_t maxInFlight = 2000;
-  std::size_t maxRecords = 20000; ///< Finished requests it can still tell about.
-  Duration recordsFor = std::chrono::hours(1);
+  std::size_t maxRecords = 20000; ///< Records of finished requests that are kept.
+  Duration recordRetention = std::chrono::hours(1);
 };
 
-/// \brief What a role may not reach for by itself.
+/// \brief Sources of randomness and wall-clock time, passed in so that a role is deterministic.
 struct RoleHooks
 {
   std::function<std::uint64_t()> random;  ///< Uniform 64-bit numbers.
-  std::function<WallMillis()> wallMillis; ///< For records people read.
+  std::function<WallMillis()> wallMillis; ///< Wall-clock time, for records only.
 };
 
-/// \brief The entry's decisions: admission, routing, attempts, outcomes. No I/O inside.
+/// \brief The logic of an entry: admission, routing, attempts and outcomes. Does no I/O.
 class EntryRole
 {
 public:
@@ -46,9 +46,9 @@
   EntryRole(const EntryRole&) = delete;
   EntryRole& operator=(const EntryRole&) = delete;
 
-  /// \brief Takes in what arrived and appends what must go out.
-  /// \param now BootClock time; never goes back.
-  /// \remarks Call it at once when something arrives and at least every kTickInterval.
+  /// \brief Handles the inputs and appends the outputs.
+  /// \param now BootClock time; must not decrease.
+  /// \remarks Call it as soon as an input arrives, and at least every kTickInterval.
   void Tick(TimePoint now, std::span<const EntryInput> inbox, std::vector<EntryOutput>& outbox);
 
   static constexpr Duration kTickInterval = std::chrono::milliseconds(50);
--- a/src/admission/admission.cpp
+++ b/src/admission/admission.cpp
@@ -15,12 +15,12 @@
 using impl::FromSeconds;
 using impl::Seconds;
 
-/// Assumed until the first answer ended.
-constexpr double kFirstServiceSeconds = 1;
-constexpr double kLeastServiceSeconds = 1e-4;
+/// Assumed service time until the first answer has ended.
+constexpr double kInitialServiceSeconds = 1;
+constexpr double kMinServiceSeconds = 1e-4;
 
-/// This entry's part of a limit, as a fraction of it: so it follows changes of the limit while no
-/// new shares arrive.
+/// This entry's share of the limits, as fractions, so that it follows changes of the limits while
+/// no new shares arrive.
 struct Share
 {
   bool known = false;
@@ -35,12 +35,12 @@
   Share share;
   impl::TokenBucket requests;
   impl::TokenBucket tokens;
-  std::uint32_t maxConcurrent = 0; ///< In force here, when the workspace has such a limit.
+  std::uint32_t maxConcurrent = 0; ///< This entry's limit, if the workspace has one.
   std::uint32_t running = 0;
-  double reserved = 0; ///< Tokens taken for running requests, before their cost is known.
+  double reserved = 0; ///< Tokens charged for running requests whose cost isn't known yet.
   impl::Mean tokensPerRequest;
   impl::Mean serviceSeconds;
-  impl::Meter offered;
+  impl::RateMeter offered;
   std::uint64_t admitted = 0;
   std::uint64_t used = 0;
   impl::ReturnSchedule returns;
@@ -48,12 +48,12 @@
 
 struct EntryRow
 {
-  std::uint32_t slots = 0; ///< 0: not known.
+  std::uint32_t slots = 0; ///< 0 when unknown.
   double occupancy = 0;
   std::uint32_t running = 0;
   std::uint32_t runningAtOccupancy = 0;
   impl::Mean serviceSeconds;
-  std::unordered_map<WorkspaceId, std::uint32_t> byWorkspace; ///< Running, none at zero.
+  std::unordered_map<WorkspaceId, std::uint32_t> byWorkspace; ///< Running requests; no zero counts.
   impl::ReturnSchedule returns;
 
   [[nodiscard]] double InFlight() const
@@ -61,14 +61,20 @@
     const double change = static_cast<double>(running) - runningAtOccupancy;
     return std::max(occupancy + change, static_cast<double>(running));
   }
-  [[nodiscard]] double Service() const
+  [[nodiscard]] double ExpectedServiceSeconds() const
   {
-    const double known = serviceSeconds.Known() ? serviceSeconds.Value() : kFirstServiceSeconds;
-    return std::max(known, kLeastServiceSeconds);
+    const double known = serviceSeconds.Known() ? serviceSeconds.Value() : kInitialServiceSeconds;
+    return std::max(known, kMinServiceSeconds);
+  }
+  /// Requests that end per second over all entries, by Little's law.
+  [[nodiscard]] double DrainRate() const
+  {
+    return std::max(InFlight(), 1.0) / ExpectedServiceSeconds();
+  }
+  [[nodiscard]] double OwnDrainRate() const
+  {
+    return std::max<double>(running, 1) / ExpectedServiceSeconds();
   }
-  /// Ends per second over all entries, by Little's law.
-  [[nodiscard]] double Drain() const { return std::max(InFlight(), 1.0) / Service(); }
-  [[nodiscard]] double OwnDrain() const { return std::max<double>(running, 1) / Service(); }
 };
 
 double Fraction(double share, double limit)
@@ -98,9 +104,9 @@
 
   [[nodiscard]] impl::ReturnSchedule::Bounds Bounds(double least) const
   {
-    return { std::max(least, Seconds(policy.leastRetryAfter)),
-             Seconds(policy.mostRetryAfter),
-             policy.returnJitter };
+    return { std::max(least, Seconds(policy.minRetryAfter)),
+             Seconds(policy.maxRetryAfter),
+             policy.retryJitter };
   }
 
   [[nodiscard]] static double ExpectedTokens(const WorkspaceRow& row, const AdmissionQuery& query)
@@ -108,8 +114,8 @@
     if (!row.tokensPerRequest.Known()) {
       return query.expectedTokens;
     }
-    // Callers state the most they would take, often far above what they use; charged in full it
-    // would hold back work that the limit allows.
+    // Callers state an upper bound that is often far above what they use; charging it in full would
+    // refuse work that the limit allows.
     const double usual = row.tokensPerRequest.Value();
     return query.expectedTokens == 0 ? usual : std::min<double>(query.expectedTokens, usual);
   }
@@ -121,7 +127,7 @@
                                             EntryRow& entry,
                                             const AdmissionQuery& query) const;
   [[nodiscard]] double AllowedWait(const EntryRow& entry, const AdmissionQuery& query) const;
-  [[nodiscard]] double FairPart(const EntryRow& entry, const WorkspaceId& workspace) const;
+  [[nodiscard]] double FairFraction(const EntryRow& entry, const WorkspaceId& workspace) const;
 };
 
 Admission::Admission(const AdmissionPolicy& policy)
@@ -156,7 +162,7 @@
     return;
   }
   WorkspaceRow& row = found->second;
-  // What was earned so far was earned at the former rate.
+  // The time until now is refilled at the previous rate.
   row.requests.Refill(now);
   row.tokens.Refill(now);
   row.share = { true,
@@ -192,14 +198,14 @@
   }
   if (row.limits.maxConcurrent > 0 && row.running >= row.maxConcurrent) {
     const double service =
-      row.serviceSeconds.Known() ? row.serviceSeconds.Value() : kFirstServiceSeconds;
+      row.serviceSeconds.Known() ? row.serviceSeconds.Value() : kInitialServiceSeconds;
     const double ends = std::max<double>(row.running, 1) / std::max(service, 1e-3);
     return { RefusalReason::kWorkspaceConcurrency, row.returns.Next(now, ends, Bounds(1 / ends)) };
   }
   return {};
 }
 
-double Admission::Impl::FairPart(const EntryRow& entry, const WorkspaceId& workspace) const
+double Admission::Impl::FairFraction(const EntryRow& entry, const WorkspaceId& workspace) const
 {
   const auto found = entry.byWorkspace.find(workspace);
   if (found == entry.byWorkspace.end()) {
@@ -207,22 +213,23 @@
   }
   const double mean =
     static_cast<double>(entry.running) / static_cast<double>(entry.byWorkspace.size());
-  return std::clamp(mean / found->second, policy.leastFairPart, 1.0);
+  return std::clamp(mean / found->second, policy.minFairFraction, 1.0);
 }
 
 double Admission::Impl::AllowedWait(const EntryRow& entry, const AdmissionQuery& query) const
 {
-  const double service = entry.Service();
+  const double service = entry.ExpectedServiceSeconds();
   if (query.priorityClass == PriorityClass::kBatch) {
     return -policy.batchHeadroom * service;
   }
-  const double spare =
-    query.deadline > Duration{} ? Seconds(query.deadline) - service : policy.mostWaitPart * service;
-  const double most = std::clamp(spare, 0.0, policy.mostWaitPart * service);
-  const double part = query.priorityClass == PriorityClass::kStandard ? policy.standardPart : 1;
-  // Under contention a workspace with much in flight gives way first: otherwise whoever sends most
-  // fills every free slot, and a workspace with little work finds none.
-  return most * part * FairPart(entry, query.workspace);
+  const double spare = query.deadline > Duration{} ? Seconds(query.deadline) - service
+                                                   : policy.maxWaitFraction * service;
+  const double most = std::clamp(spare, 0.0, policy.maxWaitFraction * service);
+  const double part =
+    query.priorityClass == PriorityClass::kStandard ? policy.standardWaitFraction : 1;
+  // Under contention a workspace with many requests in flight is refused first: otherwise the
+  // workspace that sends most takes every free slot.
+  return most * part * FairFraction(entry, query.workspace);
 }
 
 AdmissionDecision Admission::Impl::CheckLoad(TimePoint now,
@@ -232,14 +239,14 @@
   if (entry.slots == 0) {
     return {};
   }
-  const double drain = entry.Drain();
+  const double drain = entry.DrainRate();
   const double excess = entry.InFlight() + 1 - entry.slots;
   const double wait = excess / drain;
   const double allowed = AllowedWait(entry, query);
   if (wait <= allowed || (wait <= 0 && allowed >= 0)) {
     return {};
   }
-  const double rate = entry.OwnDrain() * policy.returnPart;
+  const double rate = entry.OwnDrainRate() * policy.retryRateFraction;
   return { RefusalReason::kOverload, entry.returns.Next(now, rate, Bounds(wait - allowed)) };
 }
 
@@ -272,9 +279,9 @@
 Duration Admission::RetryAfter(TimePoint now, const EntryName& entryName)
 {
   EntryRow& entry = m_impl->entries[entryName];
-  const double oneEnd = 1 / entry.OwnDrain();
+  const double meanEndInterval = 1 / entry.OwnDrainRate();
   return entry.returns.Next(
-    now, entry.OwnDrain() * m_impl->policy.returnPart, m_impl->Bounds(oneEnd));
+    now, entry.OwnDrainRate() * m_impl->policy.retryRateFraction, m_impl->Bounds(meanEndInterval));
 }
 
 void Admission::OnFinished(TimePoint now,
--- a/src/admission/return_schedule.hpp
+++ b/src/admission/return_schedule.hpp
@@ -4,37 +4,37 @@
 
 namespace gooseberrysail::impl {
 
-/// \brief Tells refused callers when to come back, each at a time of its own.
-/// \remarks Told one and the same time, all of them return at once, most are refused again, and
-/// the waves go on for as long as the overload does. Here each promise takes a place in line, at
-/// the rate at which there will be room.
+/// \brief Assigns each refused caller its own time for a retry.
+/// \remarks With one common time all callers retry at once, most are refused again, and these
+/// bursts repeat for as long as the overload lasts. The times are spaced by the rate at which
+/// callers can be admitted.
 class ReturnSchedule
 {
 public:
   struct Bounds
   {
-    double least = 0; ///< Seconds; no place is nearer.
-    double most = 0;
-    double jitter = 0; ///< Part added to what is told.
+    double least = 0;  ///< Shortest wait in seconds.
+    double most = 0;   ///< Longest wait in seconds, before the jitter.
+    double jitter = 0; ///< Largest fraction added to the wait.
   };
 
-  /// \param rate Callers per second that can be taken back.
+  /// \param rate Retries per second that can be admitted.
   [[nodiscard]] Duration Next(TimePoint now, double rate, const Bounds& bounds)
   {
-    const TimePoint soonest = now + FromSeconds(bounds.least);
+    const TimePoint earliest = now + FromSeconds(bounds.least);
     const TimePoint latest = now + FromSeconds(bounds.most);
-    const TimePoint place = std::min(std::max(m_next, soonest), latest);
-    m_next = std::min(place + FromSeconds(1 / std::max(rate, kLeastRate)), latest);
-    // At the end of the line places coincide; the additive sequence keeps those apart, too.
-    m_phase += kGolden;
+    const TimePoint retryAt = std::min(std::max(m_next, earliest), latest);
+    m_next = std::min(retryAt + FromSeconds(1 / std::max(rate, kMinRate)), latest);
+    // Times at the upper bound coincide; the additive golden-ratio sequence spreads these too.
+    m_phase += kGoldenRatioConjugate;
     m_phase -= m_phase >= 1 ? 1 : 0;
-    const double wait = Seconds(place - now);
+    const double wait = Seconds(retryAt - now);
     return FromSeconds(wait * (1 + bounds.jitter * m_phase));
   }
 
 private:
-  static constexpr double kGolden = 0.6180339887498949;
-  static constexpr double kLeastRate = 1e-3;
+  static constexpr double kGoldenRatioConjugate = 0.6180339887498949;
+  static constexpr double kMinRate = 1e-3;
 
   TimePoint m_next{};
   double m_phase = 0;
--- a/src/admission/seconds.hpp
+++ b/src/admission/seconds.hpp
@@ -11,12 +11,13 @@
   return std::chrono::duration<double>(duration).count();
 }
 
-/// \brief Converts back; a wait without end becomes a day, which still fits a Duration.
+/// \brief Converts seconds to a Duration, limited to one day so that an unbounded wait doesn't
+/// overflow.
 [[nodiscard]] inline Duration FromSeconds(double seconds)
 {
-  constexpr double kMost = 86400;
+  constexpr double kMaxSeconds = 86400;
   return std::chrono::duration_cast<Duration>(
-    std::chrono::duration<double>(std::clamp(seconds, 0.0, kMost)));
+    std::chrono::duration<double>(std::clamp(seconds, 0.0, kMaxSeconds)));
 }
 
 } // namespace gooseberrysail::impl
--- a/src/admission/token_bucket.hpp
+++ b/src/admission/token_bucket.hpp
@@ -4,11 +4,12 @@
 
 namespace gooseberrysail::impl {
 
-/// \brief A rate limit. It may go into debt: what an answer costs is known only at its end.
+/// \brief A token bucket. Its level may become negative, as the cost of an answer is known only at
+/// its end.
 class TokenBucket
 {
 public:
-  /// \param rate Per second; none when unlimited.
+  /// \param rate Tokens per second; ignored when not `limited`.
   void SetRate(bool limited, double rate, double burstSeconds)
   {
     const bool fresh = limited && !m_limited;
@@ -26,21 +27,22 @@
     }
   }
 
-  /// \brief Seconds until `amount` is there; a larger amount than fits waits for a full bucket.
+  /// \brief Seconds until `amount` is available; an amount above the capacity waits for a full
+  /// bucket.
   [[nodiscard]] double Wait(double amount) const
   {
     const double missing = std::min(amount, m_capacity) - m_level;
     if (!m_limited || missing <= 0) {
       return 0;
     }
-    return missing / std::max(m_rate, kLeastRate);
+    return missing / std::max(m_rate, kMinRate);
   }
 
   void Take(double amount) { m_level -= m_limited ? amount : 0; }
-  [[nodiscard]] double Rate() const { return std::max(m_rate, kLeastRate); }
+  [[nodiscard]] double Rate() const { return std::max(m_rate, kMinRate); }
 
 private:
-  static constexpr double kLeastRate = 1e-6;
+  static constexpr double kMinRate = 1e-6;
 
   bool m_limited = false;
   double m_rate = 0;
--- a/src/entry/attempt_flow.cpp
+++ b/src/entry/attempt_flow.cpp
@@ -13,7 +13,7 @@
 constexpr std::uint32_t kMaxAttempts = 4;
 constexpr unsigned kServerError = 500;
 constexpr Duration kNoGroupRetryAfter = std::chrono::seconds(2);
-constexpr Duration kAskInterval = std::chrono::milliseconds(500);
+constexpr Duration kRetryInterval = std::chrono::milliseconds(500);
 
 std::vector<std::pair<std::string, std::string>> AttemptFields(const Request& request)
 {
@@ -32,7 +32,7 @@
   return query;
 }
 
-void NoteAttempt(EntryContext& context, const Request& request, const RouteCandidate& route)
+void RecordAttempt(EntryContext& context, const Request& request, const RouteCandidate& route)
 {
   wire::RequestRecordT* record = context.records.Find(request.id.Get());
   if (record == nullptr) {
@@ -61,7 +61,7 @@
   attempt.incarnation = peer.incarnation;
   attempt.address = route.address;
   attempt.sentAt = context.now;
-  attempt.askAgainAt = context.now + kProbeInterval;
+  attempt.nextProbeAt = context.now + kProbeInterval;
   return attempt;
 }
 
@@ -95,7 +95,7 @@
   }
   request.stage = RequestStage::kAttempting;
   request.attempt = MakeAttempt(context, *route, *peer, ++request.attempts);
-  NoteAttempt(context, request, *route);
+  RecordAttempt(context, request, *route);
   SendStart(context, request);
   context.router.OnSent(context.now, *group, query);
   auto fields = AttemptFields(request);
@@ -116,7 +116,7 @@
   return error;
 }
 
-void MarkAck(EntryContext& context, Request& request)
+void QueueAck(EntryContext& context, Request& request)
 {
   if (!request.attempt->ackDue) {
     request.attempt->ackDue = true;
@@ -134,8 +134,8 @@
   context.Send(request.attempt->head, {}, std::move(ack));
 }
 
-/// Output of a request that is over here: its agent must not hold it for ever.
-void AckForeign(EntryContext& context, const ProcessId& from, const wire::OutputT& output)
+/// Acknowledges output of a request that has ended here, so that its agent can release it.
+void AckUnmatchedOutput(EntryContext& context, const ProcessId& from, const wire::OutputT& output)
 {
   wire::AckT ack;
   ack.request = output.request;
@@ -145,11 +145,11 @@
   context.Send(from, {}, std::move(ack));
 }
 
-/// After this the request may not go to another group: the target has started.
-void NoteStarted(EntryContext& context, Request& request)
+/// The target has started, so the request must not be sent to another group any more.
+void MarkTargetStarted(EntryContext& context, Request& request)
 {
   Attempt& attempt = *request.attempt;
-  attempt.headSeen = true;
+  attempt.headersReceived = true;
   request.start.reset();
   context.router.OnFirstByte(context.now, attempt.group, context.now - attempt.sentAt);
 }
@@ -159,8 +159,8 @@
   SendAck(context, request, true);
   if (output.cutReason.empty()) {
     const bool served = request.caller.status < kServerError;
-    const AttemptResult whole = served ? AttemptResult::kCompleted : AttemptResult::kFailed;
-    CloseAttempt(context, request, whole, ToString(Outcome::kCompleted));
+    const AttemptResult endResult = served ? AttemptResult::kCompleted : AttemptResult::kFailed;
+    CloseAttempt(context, request, endResult, ToString(Outcome::kCompleted));
     EndCompleted(context, request);
     return;
   }
@@ -208,8 +208,8 @@
 void OnRefused(EntryContext& context, const ProcessId& from, const wire::RefusedT& refused)
 {
   Request* request = FindAttempt(context, from, refused.request, refused.attempt);
-  // An agent can't take back a start whose output is here already.
-  if (request == nullptr || request->attempt->headSeen) {
+  // A refusal after output is invalid: the target has already started.
+  if (request == nullptr || request->attempt->headersReceived) {
     return;
   }
   OnNeverStarted(
@@ -220,32 +220,32 @@
 {
   Request* request = FindAttempt(context, from, output.request, output.attempt);
   if (request == nullptr) {
-    AckForeign(context, from, output);
+    AckUnmatchedOutput(context, from, output);
     return;
   }
-  const FittedOutput fitted = FitOutput(*request->attempt, output);
-  if (fitted.fit == FittedOutput::Fit::kGap) {
-    if (context.now >= request->attempt->gapAskAt) {
-      request->attempt->gapAskAt = context.now + kAskInterval;
+  const ReassembledOutput reassembled = ReassembleOutput(*request->attempt, output);
+  if (reassembled.kind == ReassembledOutput::Kind::kGap) {
+    if (context.now >= request->attempt->nextGapResumeAt) {
+      request->attempt->nextGapResumeAt = context.now + kRetryInterval;
       SendResume(context, *request);
     }
     return;
   }
-  MarkAck(context, *request);
-  if (fitted.fit == FittedOutput::Fit::kDuplicate) {
+  QueueAck(context, *request);
+  if (reassembled.kind == ReassembledOutput::Kind::kDuplicate) {
     return;
   }
-  if (fitted.head) {
-    NoteStarted(context, *request);
+  if (reassembled.startsAnswer) {
+    MarkTargetStarted(context, *request);
   }
-  request->attempt->state = AttemptState::kLive;
-  request->attempt->askAgainAt = context.now + kProbeInterval;
-  request->attempt->nextOffset += fitted.bytes.size();
+  request->attempt->state = AttemptState::kConnected;
+  request->attempt->nextProbeAt = context.now + kProbeInterval;
+  request->attempt->nextOffset += reassembled.bytes.size();
   if (wire::RequestRecordT* record = context.records.Find(output.request)) {
-    record->bytes += fitted.bytes.size();
+    record->bytes += reassembled.bytes.size();
   }
-  ForwardOutput(context, *request, fitted, output);
-  if (fitted.end) {
+  ForwardOutput(context, *request, reassembled, output);
+  if (reassembled.end) {
     OnEnd(context, *request, output);
   }
 }
@@ -264,7 +264,7 @@
 void SendResume(EntryContext& context, Request& request)
 {
   Attempt& attempt = *request.attempt;
-  attempt.askAgainAt = context.now + kProbeInterval;
+  attempt.nextProbeAt = context.now + kProbeInterval;
   wire::ResumeT resume;
   resume.request = request.id.Get();
   resume.attempt = attempt.number;
@@ -280,7 +280,7 @@
 {
   Attempt& attempt = *request.attempt;
   attempt.state = AttemptState::kSealing;
-  attempt.askAgainAt = context.now + kAskInterval;
+  attempt.nextProbeAt = context.now + kRetryInterval;
   wire::SealT seal;
   seal.request = request.id.Get();
   seal.attempt = attempt.number;
--- a/src/entry/attempt_recovery.cpp
+++ b/src/entry/attempt_recovery.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// How long a caller waits for an agent that can't be reached.
-constexpr Duration kUnreachableLimit = std::chrono::seconds(5);
+/// Time after which the caller of a disconnected agent is answered.
+constexpr Duration kUnreachableTimeout = std::chrono::seconds(5);
 constexpr Duration kRetryAfter = std::chrono::seconds(1);
 
 void CutAttempt(EntryContext& context, Request& request, std::string_view why)
@@ -17,7 +17,7 @@
   EndCut(context, request, why);
 }
 
-/// Nothing of the request left this process, so this is certain.
+/// Ends a request of which nothing was sent, so that it is certain not to have run.
 void EndUnsent(EntryContext& context, Request& request, std::string_view why, unsigned status)
 {
   CallerError error;
@@ -29,18 +29,18 @@
   EndNotRun(context, request, std::move(error));
 }
 
-/// Nobody waits for the answer any more. A call that may be repeated is cancelled. Another one may
-/// have begun and then runs to its end, but is kept from starting if it has not.
-void StopWanting(EntryContext& context, Request& request, std::string_view why)
+/// Stops an attempt whose answer is no longer needed. A repeatable call is cancelled. Any other one
+/// is sealed, which prevents its start; if it has started, it runs to its end.
+void CancelOrSeal(EntryContext& context, Request& request, std::string_view why)
 {
   Attempt& attempt = *request.attempt;
-  if (attempt.state == AttemptState::kSilent) {
+  if (attempt.state == AttemptState::kDisconnected) {
     return;
   }
-  attempt.askAgainAt = context.now + kProbeInterval;
+  attempt.nextProbeAt = context.now + kProbeInterval;
   if (request.repeatable) {
     SendCancel(context, request, why);
-  } else if (!attempt.headSeen) {
+  } else if (!attempt.headersReceived) {
     SendSeal(context, request);
   }
 }
@@ -49,22 +49,22 @@
 {
   request.start.reset();
   AnswerCutAndResolve(context, request, why);
-  StopWanting(context, request, why);
+  CancelOrSeal(context, request, why);
 }
 
-/// What is asked once the connection stands again depends on whether the answer is still wanted.
-void AskAgain(EntryContext& context, Request& request)
+/// Sends Seal, Cancel or Resume, by whether the answer is still needed and the target has started.
+void ProbeAttempt(EntryContext& context, Request& request)
 {
   Attempt& attempt = *request.attempt;
-  const bool unwanted = request.stage == RequestStage::kResolving;
-  if (!attempt.headSeen && (unwanted || attempt.state == AttemptState::kSealing)) {
+  const bool answerUnneeded = request.stage == RequestStage::kResolving;
+  if (!attempt.headersReceived && (answerUnneeded || attempt.state == AttemptState::kSealing)) {
     SendSeal(context, request);
     return;
   }
-  attempt.state = AttemptState::kLive;
-  if (unwanted && request.repeatable) {
+  attempt.state = AttemptState::kConnected;
+  if (answerUnneeded && request.repeatable) {
     SendCancel(context, request, reason::kCallerGone);
-    attempt.askAgainAt = context.now + kProbeInterval;
+    attempt.nextProbeAt = context.now + kProbeInterval;
     return;
   }
   SendResume(context, request);
@@ -72,18 +72,18 @@
 
 void Redial(EntryContext& context, Attempt& attempt)
 {
-  attempt.askAgainAt = context.now + RouteClient::kDialInterval;
+  attempt.nextProbeAt = context.now + RouteClient::kDialInterval;
   context.Send(attempt.head, attempt.address, wire::PingT{});
 }
 
-void SweepSilent(EntryContext& context, Request& request)
+void SweepDisconnected(EntryContext& context, Request& request)
 {
   Attempt& attempt = *request.attempt;
-  if (context.now >= attempt.askAgainAt) {
+  if (context.now >= attempt.nextProbeAt) {
     Redial(context, attempt);
   }
-  const bool waitedEnough = context.now - attempt.silentSince >= kUnreachableLimit;
-  if (request.stage != RequestStage::kResolving && waitedEnough) {
+  const bool timedOut = context.now - attempt.disconnectedAt >= kUnreachableTimeout;
+  if (request.stage != RequestStage::kResolving && timedOut) {
     GiveUp(context, request, reason::kAgentUnreachable);
   }
 }
@@ -91,7 +91,7 @@
 void SweepAttempt(EntryContext& context, Request& request)
 {
   Attempt& attempt = *request.attempt;
-  if (request.stage == RequestStage::kResolving && context.now >= request.resolveUntil) {
+  if (request.stage == RequestStage::kResolving && context.now >= request.resolveDeadline) {
     CloseAttempt(context, request, AttemptResult::kFailed, "cut: not resolved in time");
     EndCut(context, request, reason::kAgentUnreachable);
     return;
@@ -100,12 +100,12 @@
     GiveUp(context, request, reason::kDeadline);
     return;
   }
-  if (attempt.state == AttemptState::kSilent) {
-    SweepSilent(context, request);
+  if (attempt.state == AttemptState::kDisconnected) {
+    SweepDisconnected(context, request);
     return;
   }
-  if (context.now >= attempt.askAgainAt) {
-    AskAgain(context, request);
+  if (context.now >= attempt.nextProbeAt) {
+    ProbeAttempt(context, request);
   }
 }
 
@@ -116,11 +116,11 @@
   }
   const bool resolving = request.stage == RequestStage::kResolving;
   const Attempt& attempt = *request.attempt;
-  return now >= (resolving ? request.resolveUntil : request.deadline) ||
-         now >= attempt.askAgainAt || attempt.state == AttemptState::kSilent;
+  return now >= (resolving ? request.resolveDeadline : request.deadline) ||
+         now >= attempt.nextProbeAt || attempt.state == AttemptState::kDisconnected;
 }
 
-/// The requests whose attempt is at this agent.
+/// Ids of the requests whose current attempt is at this agent.
 std::vector<RequestId> RequestsAt(const EntryContext& context, const ProcessId& head)
 {
   return context.requests.IdsWhere([&](const Request& request) {
@@ -149,24 +149,25 @@
       continue;
     }
     if (request->attempt->incarnation != up.incarnation) {
-      // The process that may have started it is gone with its memory: nobody can say "not run".
+      // The incarnation that may have started it has ended, and its state is lost: "not run" can't
+      // be established any more.
       CutAttempt(context, *request, reason::kAgentRestarted);
       continue;
     }
-    AskAgain(context, *request);
+    ProbeAttempt(context, *request);
   }
 }
 
-void SilenceAttempts(EntryContext& context, const PeerDown& down)
+void SuspendAttempts(EntryContext& context, const PeerDown& down)
 {
   for (const RequestId& id : RequestsAt(context, down.peer)) {
     Request* request = context.requests.Find(id.Get());
-    if (request == nullptr || request->attempt->state == AttemptState::kSilent) {
+    if (request == nullptr || request->attempt->state == AttemptState::kDisconnected) {
       continue;
     }
     Attempt& attempt = *request->attempt;
-    attempt.state = AttemptState::kSilent;
-    attempt.silentSince = context.now;
+    attempt.state = AttemptState::kDisconnected;
+    attempt.disconnectedAt = context.now;
     Redial(context, attempt);
     context.Emit(EventNumber::kAttemptSilent,
                  { { "request", request->id.Get() },
@@ -178,7 +179,7 @@
 void OnSealReply(EntryContext& context, const ProcessId& from, const wire::SealReplyT& reply)
 {
   Request* request = FindAttempt(context, from, reply.request, reply.attempt);
-  if (request == nullptr || request->attempt->headSeen) {
+  if (request == nullptr || request->attempt->headersReceived) {
     return;
   }
   switch (reply.result) {
@@ -191,10 +192,10 @@
     case wire::SealResult::Started:
       break;
   }
-  request->attempt->state = AttemptState::kLive;
+  request->attempt->state = AttemptState::kConnected;
   if (request->stage == RequestStage::kResolving && request->repeatable) {
     SendCancel(context, *request, reason::kCallerGone);
-    request->attempt->askAgainAt = context.now + kProbeInterval;
+    request->attempt->nextProbeAt = context.now + kProbeInterval;
     return;
   }
   SendResume(context, *request);
@@ -212,11 +213,12 @@
     CutAttempt(context, *request, reason::kAgentRestarted);
     return;
   }
-  if (request->attempt->headSeen) {
+  if (request->attempt->headersReceived) {
     CutAttempt(context, *request, reason::kAnswerLost);
     return;
   }
-  // The Start may still be under way on a connection that seems dead: only a seal makes sure.
+  // The Start may still arrive over the former connection, so only a seal guarantees that the
+  // request never starts.
   SendSeal(context, *request);
 }
 
@@ -226,7 +228,7 @@
   if (request == nullptr) {
     return;
   }
-  context.requests.ForgetCaller(*request);
+  context.requests.DetachCaller(*request);
   if (!request->attempt) {
     EndUnsent(context, *request, reason::kCallerGone, 499);
     return;
--- a/src/entry/caller_answer.cpp
+++ b/src/entry/caller_answer.cpp
@@ -74,7 +74,7 @@
   return answer;
 }
 
-std::string CutStreamEvent(const CallerError& error, const RequestId& request)
+std::string StreamErrorEvent(const CallerError& error, const RequestId& request)
 {
   return "\n\nevent: error\ndata: " + ErrorBody(error, request) + "\n\n";
 }
--- a/src/entry/caller_api.cpp
+++ b/src/entry/caller_api.cpp
@@ -214,7 +214,7 @@
 
 bool IsHopHeader(std::string_view name) noexcept
 {
-  // Authorization is the workspace's token for this system; a target has no business with it.
+  // Authorization holds the workspace's token for this system, which must not reach a target.
   static constexpr std::array<std::string_view, 13> kHopHeaders = {
     "connection",          "keep-alive", "proxy-connection",
     "proxy-authorization", "te",         "trailer",
--- a/src/entry/caller_stream.cpp
+++ b/src/entry/caller_stream.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::size_t kHoldBackBytes = 16 * 1024;
+constexpr std::size_t kMaxBufferedBytes = 16 * 1024;
 constexpr std::size_t kMaxCapturedBytes = 256 * 1024;
 constexpr std::string_view kEventStream = "text/event-stream";
 constexpr std::string_view kEventLine = "data:";
@@ -24,22 +24,22 @@
     std::size_t length = 0;
     const std::string& text = header->value;
     const auto read = std::from_chars(text.data(), text.data() + text.size(), length);
-    return read.ec == std::errc() && length <= kHoldBackBytes;
+    return read.ec == std::errc() && length <= kMaxBufferedBytes;
   }
   return false;
 }
 
-void TakeHead(Request& request, const wire::OutputT& output)
+void StoreHeaders(Request& request, const wire::OutputT& output)
 {
-  CallerSide& caller = request.caller;
+  CallerResponse& caller = request.caller;
   caller.status = output.status;
   caller.headers = AnswerHeaders(output.headers, request.id);
   caller.eventStream = FindHeader(caller.headers, "Content-Type").starts_with(kEventStream);
-  caller.holdBack = !caller.eventStream && IsShort(output.headers);
+  caller.bufferUntilEnd = !caller.eventStream && IsShort(output.headers);
   if (request.captured) {
     request.captured->status = output.status;
     request.captured->headers = caller.headers;
-    request.captured->headers.pop_back(); // X-Request-Id: a replay bears its own.
+    request.captured->headers.pop_back(); // X-Request-Id: a replay has its own.
   }
 }
 
@@ -56,7 +56,8 @@
   request.captured->body.append(bytes);
 }
 
-/// One event of a stream is about one token; a whole answer states its count.
+/// Counts each event of a stream as one token, which is an estimate; any other answer states its
+/// count.
 void CountTokens(Request& request, std::string_view bytes)
 {
   if (request.caller.eventStream) {
@@ -74,14 +75,14 @@
   }
 }
 
-HttpAnswerOut NextPart(CallerSide& caller)
+HttpAnswerOut NextPart(CallerResponse& caller)
 {
   HttpAnswerOut part;
   part.exchange = caller.exchange;
-  if (!caller.headSent) {
+  if (!caller.headersSent) {
     part.status = caller.status;
     part.headers = std::move(caller.headers);
-    caller.headSent = true;
+    caller.headersSent = true;
   }
   return part;
 }
@@ -90,58 +91,59 @@
 
 void ForwardOutput(EntryContext& context,
                    Request& request,
-                   const FittedOutput& fitted,
+                   const ReassembledOutput& reassembled,
                    const wire::OutputT& output)
 {
-  if (fitted.head) {
-    TakeHead(request, output);
+  if (reassembled.startsAnswer) {
+    StoreHeaders(request, output);
   }
-  Capture(request, fitted.bytes);
-  CountTokens(request, fitted.bytes);
-  CallerSide& caller = request.caller;
-  const bool wholeEnd = fitted.end && output.cutReason.empty();
+  Capture(request, reassembled.bytes);
+  CountTokens(request, reassembled.bytes);
+  CallerResponse& caller = request.caller;
+  const bool endsComplete = reassembled.end && output.cutReason.empty();
   if (!caller.waiting) {
     return;
   }
-  if (caller.holdBack && !wholeEnd) {
-    caller.held.append(fitted.bytes);
+  if (caller.bufferUntilEnd && !endsComplete) {
+    caller.buffered.append(reassembled.bytes);
     return;
   }
-  const bool cutEnd = fitted.end && !wholeEnd;
-  if (cutEnd && (!caller.headSent || fitted.bytes.empty())) {
-    // While nothing was sent, the caller can still get a clear error in place of half an answer.
+  const bool endsCut = reassembled.end && !endsComplete;
+  if (endsCut && (!caller.headersSent || reassembled.bytes.empty())) {
+    // Forward nothing: the error that ends the answer follows, and while no headers were sent it
+    // can replace the whole answer.
     return;
   }
   HttpAnswerOut part = NextPart(caller);
-  part.bytes = std::move(caller.held);
-  part.bytes.append(fitted.bytes);
-  part.end = wholeEnd;
+  part.bytes = std::move(caller.buffered);
+  part.bytes.append(reassembled.bytes);
+  part.end = endsComplete;
   context.Answer(std::move(part));
-  if (wholeEnd) {
-    context.requests.ForgetCaller(request);
+  if (endsComplete) {
+    context.requests.DetachCaller(request);
   }
 }
 
-void TellError(EntryContext& context, Request& request, const CallerError& error)
+void SendError(EntryContext& context, Request& request, const CallerError& error)
 {
-  CallerSide& caller = request.caller;
+  CallerResponse& caller = request.caller;
   if (!caller.waiting) {
     return;
   }
-  if (!caller.headSent) {
+  if (!caller.headersSent) {
     context.Answer(MakeErrorAnswer(caller.exchange, error, request.id));
-    context.requests.ForgetCaller(request);
+    context.requests.DetachCaller(request);
     return;
   }
   if (caller.eventStream) {
     HttpAnswerOut last = NextPart(caller);
-    last.bytes = CutStreamEvent(error, request.id);
+    last.bytes = StreamErrorEvent(error, request.id);
     context.Answer(std::move(last));
   }
   HttpAnswerOut aborted = NextPart(caller);
   aborted.abort = true;
   context.Answer(std::move(aborted));
-  context.requests.ForgetCaller(request);
+  context.requests.DetachCaller(request);
 }
 
 } // namespace gooseberrysail::impl
--- a/src/entry/catalogue_client.cpp
+++ b/src/entry/catalogue_client.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::size_t kMaxAsked = 16;
+constexpr std::size_t kMaxSentQueries = 16;
 
 } // namespace
 
@@ -20,22 +20,22 @@
   if (m_controls.empty()) {
     return;
   }
-  if (m_waiting && now - m_lastAsked >= kAnswerTimeout) {
-    // A follower, a control cut off from its quorum and a dead one all look the same: silent.
-    TurnToNext();
+  if (m_awaitingReply && now - m_lastQueryAt >= kAnswerTimeout) {
+    // A follower, a control process without a quorum and one that has failed all don't answer.
+    SwitchToNextControl();
   }
   if (now < m_nextQuery) {
     return;
   }
   m_nextQuery = now + kQueryInterval;
-  m_lastAsked = now;
-  m_waiting = true;
-  m_asked.push_back({ m_nextNonce++, now });
-  if (m_asked.size() > kMaxAsked) {
-    m_asked.pop_front();
+  m_lastQueryAt = now;
+  m_awaitingReply = true;
+  m_sentQueries.push_back({ m_nextNonce++, now });
+  if (m_sentQueries.size() > kMaxSentQueries) {
+    m_sentQueries.pop_front();
   }
   wire::ConfigQueryT query;
-  query.nonce = m_asked.back().nonce;
+  query.nonce = m_sentQueries.back().nonce;
   query.haveVersion = m_haveVersion.Get();
   send(Current(), query);
 }
@@ -43,7 +43,7 @@
 void CatalogueClient::OnPeerDown(const ProcessId& peer)
 {
   if (!m_controls.empty() && Current().process == peer) {
-    TurnToNext();
+    SwitchToNextControl();
   }
 }
 
@@ -51,27 +51,27 @@
                                       const wire::ConfigStateT& state,
                                       Catalogue& catalogue)
 {
-  Result<bool> moved = catalogue.Apply(state);
+  Result<bool> updated = catalogue.Apply(state);
   m_haveVersion = catalogue.Version();
-  if (!moved) {
-    Hurry();
-    return moved;
+  if (!updated) {
+    QueryNow();
+    return updated;
   }
   const auto sentAt = SentAt(state.nonce);
   if (!sentAt || state.version < m_haveVersion.Get()) {
-    // Unasked, or older than what is in force here: it proves nothing about the newest version.
-    return moved;
+    // An answer to no known query, or one older than the version in force here, confirms nothing.
+    return updated;
   }
-  // Counted from the sending: a version committed while the answer was under way isn't proved to
-  // be absent, so an answer that took long must not make the copy look fresh.
+  // The confirmation counts from the time at which the query was sent: a newer version may have
+  // been committed while the answer was in transit.
   m_confirmedAt = std::max(m_confirmedAt.value_or(*sentAt), *sentAt);
-  m_waiting = false;
+  m_awaitingReply = false;
   const auto control = std::find_if(
     m_controls.begin(), m_controls.end(), [&](const auto& known) { return known.process == from; });
   if (control != m_controls.end()) {
     m_current = static_cast<std::size_t>(control - m_controls.begin());
   }
-  return moved;
+  return updated;
 }
 
 bool CatalogueClient::IsControl(const ProcessId& peer) const
@@ -97,18 +97,18 @@
   return policy.serveUnconfirmed || now - *m_confirmedAt <= policy.confirmationLimit;
 }
 
-void CatalogueClient::TurnToNext()
+void CatalogueClient::SwitchToNextControl()
 {
   m_current = (m_current + 1) % m_controls.size();
-  m_waiting = false;
+  m_awaitingReply = false;
   m_nextQuery = TimePoint{};
 }
 
 std::optional<TimePoint> CatalogueClient::SentAt(std::uint64_t nonce) const
 {
-  for (const Asked& asked : m_asked) {
-    if (asked.nonce == nonce) {
-      return asked.at;
+  for (const SentQuery& sent : m_sentQueries) {
+    if (sent.nonce == nonce) {
+      return sent.at;
     }
   }
   return std::nullopt;
--- a/src/entry/claim_flow.cpp
+++ b/src/entry/claim_flow.cpp
@@ -10,10 +10,10 @@
 
 constexpr Duration kRunningRetryAfter = std::chrono::seconds(1);
 
-CallerError OtherClaimError(const wire::ClaimReplyT& reply,
-                            Outcome outcome,
-                            std::string_view why,
-                            std::string message)
+CallerError ClaimConflictError(const wire::ClaimReplyT& reply,
+                               Outcome outcome,
+                               std::string_view why,
+                               std::string message)
 {
   CallerError error;
   error.status = 409;
@@ -28,16 +28,16 @@
 void AnswerError(EntryContext& context, Request& request, const CallerError& error)
 {
   request.caller.status = error.status;
-  TellError(context, request, error);
-  EndByOtherClaim(context, request, error.reason);
+  SendError(context, request, error);
+  EndAsDuplicate(context, request, error.reason);
 }
 
 void AnswerRunning(EntryContext& context, Request& request, const wire::ClaimReplyT& reply)
 {
-  CallerError error = OtherClaimError(reply,
-                                      Outcome::kRunning,
-                                      reason::kClaimRunning,
-                                      "A request with this Idempotency-Key is running.");
+  CallerError error = ClaimConflictError(reply,
+                                         Outcome::kRunning,
+                                         reason::kClaimRunning,
+                                         "A request with this Idempotency-Key is running.");
   error.retryAfter = kRunningRetryAfter;
   AnswerError(context, request, error);
 }
@@ -46,20 +46,21 @@
 {
   AnswerError(context,
               request,
-              OtherClaimError(reply,
-                              Outcome::kCut,
-                              reason::kClaimUnknown,
-                              "An earlier request with this Idempotency-Key may have run; its "
-                              "outcome is unknown and it is not run again."));
+              ClaimConflictError(reply,
+                                 Outcome::kCut,
+                                 reason::kClaimUnknown,
+                                 "An earlier request with this Idempotency-Key may have run; its "
+                                 "outcome is unknown and it is not run again."));
 }
 
-/// The same key on another request is a mistake of the caller's; running it would be a guess.
+/// The same key on a different request is an error of the caller: neither running the request nor
+/// replaying the other answer would be right.
 void AnswerKeyReused(EntryContext& context, Request& request, const wire::ClaimReplyT& reply)
 {
-  CallerError error = OtherClaimError(reply,
-                                      Outcome::kNotRun,
-                                      reason::kKeyReused,
-                                      "This Idempotency-Key belongs to a different request.");
+  CallerError error = ClaimConflictError(reply,
+                                         Outcome::kNotRun,
+                                         reason::kKeyReused,
+                                         "This Idempotency-Key belongs to a different request.");
   error.status = 422;
   AnswerError(context, request, error);
 }
@@ -75,8 +76,8 @@
   answer.end = true;
   request.caller.status = reply.status;
   context.Answer(std::move(answer));
-  context.requests.ForgetCaller(request);
-  EndByOtherClaim(context, request, "answered by " + reply.holder);
+  context.requests.DetachCaller(request);
+  EndAsDuplicate(context, request, "answered by " + reply.holder);
 }
 
 void AnswerFinished(EntryContext& context, Request& request, const wire::ClaimReplyT& reply)
@@ -87,26 +88,27 @@
   }
   const bool completed = reply.outcome == ToString(Outcome::kCompleted);
   if (completed) {
-    AnswerError(context,
-                request,
-                OtherClaimError(reply,
-                                Outcome::kCompleted,
-                                reason::kClaimAnswerGone,
-                                "The request with this Idempotency-Key ran to its end; its answer "
-                                "is no longer held."));
+    AnswerError(
+      context,
+      request,
+      ClaimConflictError(reply,
+                         Outcome::kCompleted,
+                         reason::kClaimAnswerGone,
+                         "The request with this Idempotency-Key ran to its end; its answer "
+                         "is no longer held."));
     return;
   }
-  CallerError error = OtherClaimError(reply,
-                                      Outcome::kCut,
-                                      reply.reason,
-                                      "The request with this Idempotency-Key was cut; it is not "
-                                      "run again.");
+  CallerError error = ClaimConflictError(reply,
+                                         Outcome::kCut,
+                                         reply.reason,
+                                         "The request with this Idempotency-Key was cut; it is not "
+                                         "run again.");
   AnswerError(context, request, error);
 }
 
-/// A grant for a request that is over here: without giving it back, the key would stay taken for
-/// work that nobody runs. Only what certainly never ran is given back.
-void GiveBackLateGrant(EntryContext& context, const wire::ClaimReplyT& reply)
+/// Releases a claim that was granted after its request had ended here; the key would stay claimed
+/// otherwise. Only a request that is certain never to have run is released.
+void ReleaseLateGrant(EntryContext& context, const wire::ClaimReplyT& reply)
 {
   const wire::RequestRecordT* record = context.records.Find(reply.request);
   const bool neverRan = record != nullptr && record->outcome == ToString(Outcome::kNotRun);
@@ -125,7 +127,7 @@
 
 } // namespace
 
-void AskClaim(EntryContext& context, Request& request)
+void RequestClaim(EntryContext& context, Request& request)
 {
   request.stage = RequestStage::kClaiming;
   wire::ClaimRequestT claim;
@@ -143,7 +145,7 @@
   context.claims.StopAsking(reply.request);
   Request* request = context.requests.Find(reply.request);
   if (request == nullptr) {
-    GiveBackLateGrant(context, reply);
+    ReleaseLateGrant(context, reply);
     return;
   }
   if (request->stage != RequestStage::kClaiming) {
--- a/src/entry/claims_client.cpp
+++ b/src/entry/claims_client.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// \returns When the next of the table is due.
+/// \returns When the next message of the table is due.
 template<class Table, class Send>
 TimePoint SendDue(TimePoint now, Table& table, const Send& send)
 {
--- a/src/entry/configuration_flow.cpp
+++ b/src/entry/configuration_flow.cpp
@@ -36,13 +36,13 @@
                                 const wire::ConfigStateT& state)
 {
   const Catalogue::EntryMap before = context.catalogue.All(wire::EntryKind::Workspace);
-  const Result<bool> moved = context.config.OnState(from, state, context.catalogue);
-  if (!moved) {
+  const Result<bool> updated = context.config.OnState(from, state, context.catalogue);
+  if (!updated) {
     context.Emit(EventNumber::kConfigurationRefused,
-                 { { "control", from.Get() }, { "description", ToString(moved.error()) } });
+                 { { "control", from.Get() }, { "description", ToString(updated.error()) } });
     return;
   }
-  if (moved.value()) {
+  if (updated.value()) {
     UpdateLimits(context, before);
     UpdateCapacity(context);
     context.Emit(EventNumber::kConfigurationInForce,
--- a/src/entry/control_reports.cpp
+++ b/src/entry/control_reports.cpp
@@ -11,8 +11,8 @@
 
 void ControlReports::Tick(EntryContext& context)
 {
-  const bool moved = m_reported != context.catalogue.Version();
-  if (moved || context.now >= m_nextInForce) {
+  const bool versionChanged = m_reported != context.catalogue.Version();
+  if (versionChanged || context.now >= m_nextInForce) {
     SendInForce(context);
   }
   if (context.now >= m_nextUsage) {
--- a/src/entry/entry_context.cpp
+++ b/src/entry/entry_context.cpp
@@ -7,7 +7,7 @@
   , hooks(std::move(roleHooks))
   , config(settings.controls)
   , router(settings.failureDomain, hooks.random)
-  , records(settings.maxRecords, settings.recordsFor)
+  , records(settings.maxRecords, settings.recordRetention)
 {
 }
 
--- a/src/entry/entry_role.cpp
+++ b/src/entry/entry_role.cpp
@@ -26,7 +26,7 @@
     impl::UpdateCapacity(context);
     impl::ResumeAttempts(context, up);
     if (context.config.IsControl(up.peer)) {
-      context.config.Hurry();
+      context.config.QueryNow();
     }
   }
 
@@ -37,7 +37,7 @@
     }
     context.routes.OnPeerDown(down.peer, context.router);
     impl::UpdateCapacity(context);
-    impl::SilenceAttempts(context, down);
+    impl::SuspendAttempts(context, down);
     context.config.OnPeerDown(down.peer);
   }
 
@@ -61,7 +61,7 @@
   void On(const FrameIn& frame)
   {
     if (frame.envelope->version > context.catalogue.Version().Get()) {
-      context.config.Hurry();
+      context.config.QueryNow();
     }
     if (context.config.IsControl(frame.peer)) {
       OnControlFrame(frame.peer, frame.envelope->body);
@@ -149,20 +149,21 @@
     reports.Tick(context);
   }
 
-  /// Stopping before a claim's outcome is acknowledged would leave its key "unknown" for ever. The
-  /// mere record of a request whose caller was answered goes with this process anyway.
-  [[nodiscard]] bool AllDone() const
+  /// A stop before a claim's outcome is acknowledged would leave the state of its key "unknown" for
+  /// good. An unkeyed request whose caller was answered delays nothing: only its record is left to
+  /// update, and that is lost with this process.
+  [[nodiscard]] bool IsDrained() const
   {
-    const auto isOwed = [](const Request& request) {
+    const auto blocksShutdown = [](const Request& request) {
       return request.caller.waiting || !request.key.empty();
     };
     return context.claims.Unreported() == 0 && lookups.Empty() &&
-           context.requests.IdsWhere(isOwed).empty();
+           context.requests.IdsWhere(blocksShutdown).empty();
   }
 
   void StopWhenDone()
   {
-    if (!context.stopping || stopped || !AllDone()) {
+    if (!context.stopping || stopped || !IsDrained()) {
       return;
     }
     stopped = true;
--- a/src/entry/intake.cpp
+++ b/src/entry/intake.cpp
@@ -13,7 +13,7 @@
 
 constexpr Duration kShutdownRetryAfter = std::chrono::seconds(1);
 constexpr Duration kUnconfirmedRetryAfter = std::chrono::seconds(2);
-constexpr std::size_t kUnresolvedFactor = 4;
+constexpr std::size_t kTableSizeFactor = 4;
 constexpr Duration kOverloadRetryAfter = std::chrono::seconds(1);
 
 CallerError MakeError(unsigned status,
@@ -66,7 +66,7 @@
   return error;
 }
 
-/// Everything known of one caller's request while it is being judged.
+/// A caller's request during validation and admission.
 struct Arrival
 {
   const HttpRequestIn& http;
@@ -99,7 +99,7 @@
   return record;
 }
 
-/// A refusal of a known workspace's call: `request show` can tell of it too.
+/// Refuses the call of a known workspace and keeps a record of it, which `request show` prints.
 void RefuseRecorded(EntryContext& context,
                     const Arrival& arrival,
                     const EntryName& entry,
@@ -115,7 +115,7 @@
   Refuse(context, arrival, error);
 }
 
-/// \returns Whether the caller belongs to a workspace; else it was told so.
+/// \returns Whether the caller belongs to a workspace; if not, it has been answered with an error.
 bool Authenticate(EntryContext& context, Arrival& arrival)
 {
   const std::string_view header = FindHeader(arrival.http.headers, "Authorization");
@@ -135,8 +135,8 @@
   return true;
 }
 
-/// \returns What forbids new work at the moment, whatever it is.
-std::optional<CallerError> Closed(const EntryContext& context)
+/// \returns The error for all new requests while this entry accepts none.
+std::optional<CallerError> CheckAvailability(const EntryContext& context)
 {
   if (context.stopping) {
     CallerError error = MakeError(
@@ -145,8 +145,7 @@
     return error;
   }
   if (!context.config.Confirmed(context.now, context.catalogue.Policy())) {
-    // A catalogue that may be outdated could let in a workspace that was removed, or serve a
-    // model that was withdrawn.
+    // An outdated catalogue could admit a workspace or serve a model that has been removed.
     CallerError error = MakeError(503,
                                   "unavailable",
                                   reason::kUnconfirmed,
@@ -222,7 +221,7 @@
   return request;
 }
 
-/// \returns Why the call may not be served, apart from load.
+/// \returns The error when the entry doesn't exist or the workspace may not call it.
 std::optional<CallerError> CheckCall(const Arrival& arrival,
                                      const TargetCall& call,
                                      const CatalogueEntry* entry)
@@ -250,11 +249,11 @@
                                      const TargetCall& call,
                                      const CatalogueEntry& entry)
 {
-  // Requests whose caller was answered are small and don't count until they are many: an agent that
-  // is gone must not use up the places of callers of other groups.
+  // Requests whose caller was answered count only towards a larger limit: they are small, and those
+  // of an unreachable agent must not make the entry refuse callers of other groups.
   const std::size_t limit = context.settings.maxInFlight;
-  const bool full =
-    context.requests.Waiting() >= limit || context.requests.Size() >= limit * kUnresolvedFactor;
+  const bool full = context.requests.WaitingCallers() >= limit ||
+                    context.requests.Size() >= limit * kTableSizeFactor;
   if (full) {
     CallerError error = MakeError(
       503, "overloaded", reason::kOverload, "This entry has as many requests in flight as it may.");
@@ -296,7 +295,7 @@
   if (request.key.empty()) {
     StartFirstAttempt(context, request);
   } else {
-    AskClaim(context, request);
+    RequestClaim(context, request);
   }
 }
 
@@ -321,15 +320,15 @@
 
 void AnswerReady(EntryContext& context, const Arrival& arrival)
 {
-  const std::optional<CallerError> closed = Closed(context);
+  const std::optional<CallerError> unavailable = CheckAvailability(context);
   boost::json::object body;
-  body["ready"] = !closed;
+  body["ready"] = !unavailable;
   body["version"] = context.catalogue.Version().Get();
-  if (closed) {
-    body["reason"] = closed->reason;
+  if (unavailable) {
+    body["reason"] = unavailable->reason;
   }
   context.Answer(MakeJsonAnswer(
-    arrival.http.exchange, closed ? 503 : 200, boost::json::serialize(body), arrival.id));
+    arrival.http.exchange, unavailable ? 503 : 200, boost::json::serialize(body), arrival.id));
 }
 
 } // namespace
@@ -351,10 +350,10 @@
     AnswerReady(context, arrival);
     return;
   }
-  // Telling of past requests runs nothing: it goes on through a shutdown and without control.
+  // A lookup of a past request runs nothing, so it is served during shutdown and without control.
   const auto* lookup = std::get_if<RequestLookupCall>(&call);
-  if (const auto closed = Closed(context); closed && lookup == nullptr) {
-    Refuse(context, arrival, *closed);
+  if (const auto unavailable = CheckAvailability(context); unavailable && lookup == nullptr) {
+    Refuse(context, arrival, *unavailable);
     return;
   }
   if (!Authenticate(context, arrival)) {
--- a/src/entry/outcome_records.cpp
+++ b/src/entry/outcome_records.cpp
@@ -4,9 +4,9 @@
 
 namespace gooseberrysail {
 
-OutcomeRecords::OutcomeRecords(std::size_t maxFinished, Duration keepFor)
+OutcomeRecords::OutcomeRecords(std::size_t maxFinished, Duration retention)
   : m_maxFinished(maxFinished)
-  , m_keepFor(keepFor)
+  , m_retention(retention)
 {
 }
 
@@ -61,7 +61,7 @@
 void OutcomeRecords::Expire(TimePoint now)
 {
   while (!m_closed.empty() &&
-         (m_closed.size() > m_maxFinished || now - m_closed.front().at > m_keepFor)) {
+         (m_closed.size() > m_maxFinished || now - m_closed.front().at > m_retention)) {
     m_records.erase(m_closed.front().request);
     m_closed.pop_front();
   }
--- a/src/entry/request_end.cpp
+++ b/src/entry/request_end.cpp
@@ -7,12 +7,12 @@
 namespace {
 
 constexpr Duration kCutRetryAfter = std::chrono::seconds(1);
-constexpr Duration kResolveFor = std::chrono::seconds(60);
-constexpr Duration kResolveKeyedFor = std::chrono::minutes(10);
+constexpr Duration kResolveTimeout = std::chrono::seconds(60);
+constexpr Duration kKeyedResolveTimeout = std::chrono::minutes(10);
 constexpr std::string_view kAnswerTooLarge = "answer-too-large-to-keep";
 constexpr std::string_view kRanAfterAnswer = "; the target finished after the caller was answered";
 
-/// The request is over for its caller: once for the record, admission and the log.
+/// Marks the caller's answer as final, once: in the record, for admission and by an event.
 void CloseForCaller(EntryContext& context,
                     Request& request,
                     Outcome outcome,
@@ -26,7 +26,8 @@
   const Duration took = context.now - request.received;
   context.records.Close(
     context.now, request.id.Get(), outcome, why, status, context.hooks.wallMillis());
-  // A refusal takes no service time; counted as one, it would make admission expect short waits.
+  // A request that did not run has no service time; counting it would make admission underestimate
+  // waits.
   const Duration served = outcome == Outcome::kNotRun ? Duration{} : took;
   context.admission.OnFinished(
     context.now, request.workspace, request.entry, served, request.tokens);
@@ -65,7 +66,7 @@
   return report;
 }
 
-void TakeAnswer(wire::ClaimOutcomeT& report, const CapturedAnswer& answer)
+void CopyAnswer(wire::ClaimOutcomeT& report, const CapturedAnswer& answer)
 {
   if (answer.tooLarge) {
     report.reason = kAnswerTooLarge;
@@ -92,7 +93,7 @@
   }
   wire::ClaimOutcomeT report = MakeClaimOutcome(request, ran, outcome, why);
   if (outcome == Outcome::kCompleted && request.captured) {
-    TakeAnswer(report, *request.captured);
+    CopyAnswer(report, *request.captured);
   }
   context.Emit(EventNumber::kClaimReported,
                { { "request", request.id.Get() },
@@ -113,7 +114,8 @@
 {
   ReportClaim(context, request, true, Outcome::kCompleted, {});
   if (request.closed) {
-    // The caller was told `cut`, which stays true for it; the record says what the target did.
+    // The caller was answered with `cut`, so the outcome stays; the reason gets what the target
+    // did.
     std::string why = RecordedReason(context, request);
     why += kRanAfterAnswer;
     Amend(context, request, Outcome::kCut, why);
@@ -129,7 +131,7 @@
   if (request.closed) {
     Amend(context, request, Outcome::kNotRun, error.reason);
   }
-  TellError(context, request, error);
+  SendError(context, request, error);
   CloseForCaller(context, request, Outcome::kNotRun, error.reason, error.status);
   context.requests.Erase(request.id);
 }
@@ -138,8 +140,8 @@
 {
   ReportClaim(context, request, true, Outcome::kCut, why);
   const CallerError error = CutError(request, why);
-  const unsigned status = request.caller.headSent ? request.caller.status : error.status;
-  TellError(context, request, error);
+  const unsigned status = request.caller.headersSent ? request.caller.status : error.status;
+  SendError(context, request, error);
   CloseForCaller(context, request, Outcome::kCut, why, status);
   context.requests.Erase(request.id);
 }
@@ -147,14 +149,15 @@
 void AnswerCutAndResolve(EntryContext& context, Request& request, std::string_view why)
 {
   const CallerError error = CutError(request, why);
-  const unsigned status = request.caller.headSent ? request.caller.status : error.status;
-  TellError(context, request, error);
+  const unsigned status = request.caller.headersSent ? request.caller.status : error.status;
+  SendError(context, request, error);
   CloseForCaller(context, request, Outcome::kCut, why, status);
   request.stage = RequestStage::kResolving;
-  request.resolveUntil = context.now + (request.key.empty() ? kResolveFor : kResolveKeyedFor);
+  request.resolveDeadline =
+    context.now + (request.key.empty() ? kResolveTimeout : kKeyedResolveTimeout);
 }
 
-void EndByOtherClaim(EntryContext& context, Request& request, std::string_view why)
+void EndAsDuplicate(EntryContext& context, Request& request, std::string_view why)
 {
   CloseForCaller(context, request, Outcome::kNotRun, why, request.caller.status);
   context.requests.Erase(request.id);
@@ -188,7 +191,7 @@
   error.type = late ? "deadline" : "upstream_cut";
   error.reason = why;
   error.message = "The request may have run; its answer is not whole.";
-  // Trying again is safe when the call may be repeated or its key meets the claim.
+  // A retry is safe when the call is repeatable or its idempotency key is claimed.
   if (request.repeatable || !request.key.empty()) {
     error.retryAfter = kCutRetryAfter;
   }
--- a/src/entry/request_lookups.cpp
+++ b/src/entry/request_lookups.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr Duration kAnswerLimit = std::chrono::seconds(2);
+constexpr Duration kAnswerTimeout = std::chrono::seconds(2);
 constexpr Duration kRetryAfter = std::chrono::seconds(1);
 
 HttpAnswerOut NotFoundAnswer(ExchangeId exchange, const RequestId& own, const RequestId& wanted)
@@ -19,8 +19,8 @@
   return MakeErrorAnswer(exchange, error, own);
 }
 
-/// Another workspace's request looks like one that never was: its id tells nothing.
-bool MaySee(const wire::RequestRecordT& record, const std::string& workspace)
+/// A request of another workspace is reported like an unknown one, so that ids reveal nothing.
+bool IsVisibleTo(const wire::RequestRecordT& record, const std::string& workspace)
 {
   return workspace.empty() || record.workspace == workspace;
 }
@@ -34,7 +34,7 @@
                             const WorkspaceId& workspace)
 {
   const wire::RequestRecordT* record = context.records.Find(wanted.Get());
-  if (record != nullptr && MaySee(*record, workspace.Get())) {
+  if (record != nullptr && IsVisibleTo(*record, workspace.Get())) {
     context.Answer(MakeJsonAnswer(exchange, 200, RecordJson(*record), own));
     return;
   }
@@ -47,7 +47,7 @@
   query.nonce = ++m_lastNonce;
   query.request = wanted.Get();
   query.workspace = workspace.Get();
-  m_waiting[query.nonce] = Waiting{ exchange, own, wanted, context.now + kAnswerLimit };
+  m_pending[query.nonce] = PendingLookup{ exchange, own, wanted, context.now + kAnswerTimeout };
   if (const Peer* peer = context.peers.Find(holder)) {
     context.Send(holder, peer->address, std::move(query));
   } else {
@@ -62,7 +62,7 @@
   wire::RequestAnswerT answer;
   answer.nonce = query.nonce;
   const wire::RequestRecordT* record = context.records.Find(query.request);
-  if (record != nullptr && MaySee(*record, query.workspace)) {
+  if (record != nullptr && IsVisibleTo(*record, query.workspace)) {
     answer.found = true;
     answer.record = std::make_unique<wire::RequestRecordT>(*record);
   }
@@ -71,36 +71,37 @@
 
 void RequestLookups::OnAnswer(EntryContext& context, const wire::RequestAnswerT& answer)
 {
-  const auto found = m_waiting.find(answer.nonce);
-  if (found == m_waiting.end()) {
+  const auto found = m_pending.find(answer.nonce);
+  if (found == m_pending.end()) {
     return;
   }
-  const Waiting waiting = found->second;
-  m_waiting.erase(found);
-  const bool fits = answer.found && answer.record && answer.record->request == waiting.wanted.Get();
-  context.Answer(fits
-                   ? MakeJsonAnswer(waiting.exchange, 200, RecordJson(*answer.record), waiting.own)
-                   : NotFoundAnswer(waiting.exchange, waiting.own, waiting.wanted));
+  const PendingLookup pending = found->second;
+  m_pending.erase(found);
+  const bool matches =
+    answer.found && answer.record && answer.record->request == pending.wanted.Get();
+  context.Answer(matches
+                   ? MakeJsonAnswer(pending.exchange, 200, RecordJson(*answer.record), pending.own)
+                   : NotFoundAnswer(pending.exchange, pending.own, pending.wanted));
 }
 
 void RequestLookups::OnCallerGone(ExchangeId exchange)
 {
-  std::erase_if(m_waiting, [&](const auto& item) { return item.second.exchange == exchange; });
+  std::erase_if(m_pending, [&](const auto& item) { return item.second.exchange == exchange; });
 }
 
 void RequestLookups::Tick(EntryContext& context)
 {
-  // Questions are asked in order and wait equally long: the first is the oldest.
-  while (!m_waiting.empty() && context.now >= m_waiting.begin()->second.until) {
-    const Waiting& waiting = m_waiting.begin()->second;
+  // All lookups have the same timeout and ascending nonces, so the first one expires first.
+  while (!m_pending.empty() && context.now >= m_pending.begin()->second.expiresAt) {
+    const PendingLookup& pending = m_pending.begin()->second;
     CallerError error;
     error.status = 503;
     error.type = "unavailable";
     error.reason = "entry-unreachable";
-    error.message = "The entry " + EntryOf(waiting.wanted).Get() + " can't be asked at the moment.";
+    error.message = "The entry " + EntryOf(pending.wanted).Get() + " can't be asked at the moment.";
     error.retryAfter = kRetryAfter;
-    context.Answer(MakeErrorAnswer(waiting.exchange, error, waiting.own));
-    m_waiting.erase(m_waiting.begin());
+    context.Answer(MakeErrorAnswer(pending.exchange, error, pending.own));
+    m_pending.erase(m_pending.begin());
   }
 }
 
--- a/src/entry/request_table.cpp
+++ b/src/entry/request_table.cpp
@@ -19,7 +19,7 @@
   if (found == m_rows.end()) {
     return;
   }
-  ForgetCaller(found->second.request);
+  DetachCaller(found->second.request);
   m_rows.erase(found);
 }
 
@@ -35,7 +35,8 @@
   return found == m_byExchange.end() ? nullptr : Find(found->second);
 }
 
-std::vector<RequestId> RequestTable::InOrder(std::vector<std::pair<std::uint64_t, RequestId>> found)
+std::vector<RequestId> RequestTable::SortByArrival(
+  std::vector<std::pair<std::uint64_t, RequestId>> found)
 {
   std::sort(found.begin(), found.end());
   std::vector<RequestId> ids;
@@ -46,7 +47,7 @@
   return ids;
 }
 
-void RequestTable::ForgetCaller(Request& request)
+void RequestTable::DetachCaller(Request& request)
 {
   if (request.caller.waiting) {
     request.caller.waiting = false;
--- a/src/entry/route_client.cpp
+++ b/src/entry/route_client.cpp
@@ -32,10 +32,10 @@
   }
   m_source = from;
   if (update.whole) {
-    DropUnlisted(update, router);
+    RemoveUnlisted(update, router);
   }
   for (const auto& route : update.routes) {
-    Take(*route, peers, router);
+    ApplyRoute(*route, peers, router);
   }
   m_nextDial = TimePoint{};
   return true;
@@ -79,7 +79,7 @@
   return found == m_rows.end() ? nullptr : &found->second.candidate;
 }
 
-std::size_t RouteClient::OpenCount(const EntryName& entry) const
+std::size_t RouteClient::CountOpen(const EntryName& entry) const
 {
   const auto open = std::count_if(m_rows.begin(), m_rows.end(), [&](const auto& item) {
     const Row& row = item.second;
@@ -88,11 +88,11 @@
   return static_cast<std::size_t>(open);
 }
 
-void RouteClient::Take(const wire::RouteT& route, const ConnectedPeers& peers, Router& router)
+void RouteClient::ApplyRoute(const wire::RouteT& route, const ConnectedPeers& peers, Router& router)
 {
   const GroupId group(route.group);
   if (route.state == wire::RouteState::Gone) {
-    Drop(group, router);
+    RemoveRoute(group, router);
     return;
   }
   const auto known = m_rows.find(group);
@@ -107,13 +107,13 @@
   }
 }
 
-void RouteClient::Drop(GroupId group, Router& router)
+void RouteClient::RemoveRoute(GroupId group, Router& router)
 {
   router.Remove(group);
   m_rows.erase(group);
 }
 
-void RouteClient::DropUnlisted(const wire::RoutesUpdateT& update, Router& router)
+void RouteClient::RemoveUnlisted(const wire::RoutesUpdateT& update, Router& router)
 {
   std::set<GroupId> listed;
   for (const auto& route : update.routes) {
@@ -126,7 +126,7 @@
     }
   }
   for (const GroupId group : gone) {
-    Drop(group, router);
+    RemoveRoute(group, router);
   }
 }
 
--- a/tests/support/admission.hpp
+++ b/tests/support/admission.hpp
@@ -17,8 +17,8 @@
   return spec;
 }
 
-/// \brief An admission whose requests end when told.
-class AdmissionWorld
+/// \brief An Admission under scripted time, whose requests end by Finish.
+class AdmissionFixture
 {
 public:
   static WorkspaceId Registre() { return WorkspaceId("registre"); }
@@ -43,12 +43,12 @@
     admission.OnFinished(now, workspace, Model(), took, tokens);
   }
 
-  /// \brief Makes a service time known.
-  void Learn(Duration took)
+  /// \brief Finishes 50 requests with this service time.
+  void RecordServiceTime(Duration took)
   {
     for (int i = 0; i < 50; ++i) {
-      ASSERT_TRUE(Decide(WorkspaceId("teacher")).Admitted());
-      Finish(WorkspaceId("teacher"), took);
+      ASSERT_TRUE(Decide(WorkspaceId("warm-up")).Admitted());
+      Finish(WorkspaceId("warm-up"), took);
     }
   }
 
--- a/tests/support/entry_fixture.cpp
+++ b/tests/support/entry_fixture.cpp
@@ -95,7 +95,7 @@
 
 void EntryFixture::Boot()
 {
-  PeerUpFrom(std::string(kControl), 1, "control");
+  ConnectPeer(std::string(kControl), 1, "control");
   Tick();
 }
 
@@ -105,7 +105,7 @@
     std::vector<EntryOutput> outbox;
     m_role.Tick(m_now, inputs, outbox);
     std::vector<EntryInput> replies;
-    Take(outbox, replies);
+    HandleOutputs(outbox, replies);
     if (replies.empty()) {
       return;
     }
@@ -122,13 +122,13 @@
   }
 }
 
-void EntryFixture::PeerUpFrom(std::string peer, std::uint64_t incarnation, std::string role)
+void EntryFixture::ConnectPeer(std::string peer, std::uint64_t incarnation, std::string role)
 {
   m_incarnations[peer] = Incarnation(incarnation);
   Tick({ PeerUp{ ProcessId(peer), std::move(role), Incarnation(incarnation), peer + ":1" } });
 }
 
-void EntryFixture::PeerDownFrom(std::string peer, std::uint64_t incarnation)
+void EntryFixture::DisconnectPeer(std::string peer, std::uint64_t incarnation)
 {
   Tick({ PeerDown{ ProcessId(std::move(peer)), Incarnation(incarnation), "silent" } });
 }
@@ -194,7 +194,8 @@
   return Caller(Call("GET", "/requests/" + request)).body;
 }
 
-void EntryFixture::Take(const std::vector<EntryOutput>& outbox, std::vector<EntryInput>& replies)
+void EntryFixture::HandleOutputs(const std::vector<EntryOutput>& outbox,
+                                 std::vector<EntryInput>& replies)
 {
   for (const EntryOutput& output : outbox) {
     if (const auto* frame = std::get_if<FrameOut>(&output)) {
--- a/tests/support/entry_fixture.hpp
+++ b/tests/support/entry_fixture.hpp
@@ -16,13 +16,13 @@
 inline constexpr std::string_view kToken = "hire-desk-token";
 inline constexpr std::string_view kOtherToken = "registry-token";
 
-/// \brief The workspaces hire-desk and registry, the model hire-assist, the service booking-portal
-/// whose POST /bookings may not be repeated, as of `version`.
+/// \brief A catalogue of the given version: workspaces hire-desk and registry, model hire-assist,
+/// service booking-portal, whose POST /bookings is not repeatable.
 [[nodiscard]] wire::ConfigStateT MakeCatalogueState(std::uint64_t version);
 
 [[nodiscard]] std::unique_ptr<wire::HeaderT> MakeWireHeader(std::string name, std::string value);
 
-/// \brief A frame of an answer; a status above 0 makes it the first.
+/// \brief An output frame of an answer; the first frame has a status above 0.
 [[nodiscard]] wire::OutputT MakeOutput(std::string request,
                                        std::uint32_t attempt,
                                        std::uint64_t offset,
@@ -30,7 +30,7 @@
                                        unsigned status = 0,
                                        bool end = false);
 
-/// \brief What a caller has got so far.
+/// \brief The part of an answer that a caller has received.
 struct CallerView
 {
   std::optional<unsigned> status;
@@ -43,21 +43,22 @@
   [[nodiscard]] std::string Header(std::string_view name) const;
 };
 
-/// \brief An entry under scripted time, with a control that confirms the catalogue at each query.
+/// \brief An entry under scripted time, with a simulated control process that answers each
+/// catalogue query.
 class EntryFixture
 {
 public:
   explicit EntryFixture(Incarnation incarnation = Incarnation(7));
 
-  /// \brief Connects control, confirms the catalogue.
+  /// \brief Connects control and confirms the catalogue.
   void Boot();
 
   void Tick(std::vector<EntryInput> inputs = {});
-  /// \brief Goes on by `time` in steps of the tick interval.
+  /// \brief Advances the time by `time`, in steps of the tick interval.
   void Advance(Duration time);
 
-  void PeerUpFrom(std::string peer, std::uint64_t incarnation, std::string role = "agent");
-  void PeerDownFrom(std::string peer, std::uint64_t incarnation);
+  void ConnectPeer(std::string peer, std::uint64_t incarnation, std::string role = "agent");
+  void DisconnectPeer(std::string peer, std::uint64_t incarnation);
 
   template<class MessageT>
   void Frame(const std::string& peer, MessageT message)
@@ -65,12 +66,11 @@
     Tick({ FrameIn{ ProcessId(peer), m_incarnations[peer], MakeEnvelope(std::move(message)) } });
   }
 
-  /// \brief Tells the entry of open groups: `{group, head}` in order, each in a failure domain of
-  /// its own.
+  /// \brief Sends the entry routes to open groups, `{group, head}`, each in its own failure domain.
   void Routes(std::initializer_list<std::pair<std::uint64_t, std::string>> groups,
               const std::string& entry = "hire-assist");
 
-  /// \returns The exchange's number.
+  /// \returns The number of the exchange.
   std::uint64_t Call(std::string method,
                      std::string target,
                      std::string body = {},
@@ -92,7 +92,7 @@
     }
     return found;
   }
-  /// \brief The peer that got the latest frame of this kind; "" when none did.
+  /// \brief The receiver of the latest frame of this kind; empty when there is none.
   template<class MessageT>
   [[nodiscard]] std::string LastReceiver() const
   {
@@ -107,7 +107,7 @@
   void Clear() { m_frames.clear(); }
 
   [[nodiscard]] const CallerView& Caller(std::uint64_t exchange) { return m_callers[exchange]; }
-  /// \brief The record as `GET /requests/{id}` tells it to hire-desk.
+  /// \brief The record that `GET /requests/{id}` returns to hire-desk.
   [[nodiscard]] std::string Record(const std::string& request);
   [[nodiscard]] bool Stopped() const noexcept { return m_stopped; }
 
@@ -115,7 +115,7 @@
   [[nodiscard]] TimePoint Now() const noexcept { return m_now; }
 
 private:
-  void Take(const std::vector<EntryOutput>& outbox, std::vector<EntryInput>& replies);
+  void HandleOutputs(const std::vector<EntryOutput>& outbox, std::vector<EntryInput>& replies);
 
   TimePoint m_now{ std::chrono::seconds(100) };
   std::uint64_t m_random = 1;
--- a/tests/support/request_harness.cpp
+++ b/tests/support/request_harness.cpp
@@ -90,7 +90,7 @@
       m_session.Came(m_now, kAgent, input);
     }
   };
-  m_agent->onOutput = [this](TimePoint, const AgentOutput& output) { TakeFromAgent(output); };
+  m_agent->onOutput = [this](TimePoint, const AgentOutput& output) { HandleAgentOutput(output); };
 }
 
 void RequestHarness::StartEntry(const std::string& name)
@@ -121,7 +121,7 @@
 void RequestHarness::Reconnect(const std::string& name)
 {
   EntryProcess& entry = m_entries.at(name);
-  entry.swallow = false;
+  entry.dropFrames = false;
   entry.inbox.push_back(
     PeerDown{ ProcessId(kAgent), Incarnation(m_agentIncarnation), "no heartbeat" });
   m_agent->Give(PeerDown{ ProcessId(name), Incarnation(entry.incarnation), "no heartbeat" });
@@ -137,7 +137,7 @@
 
 void RequestHarness::RestartAgent()
 {
-  m_formerRuns += m_agent->Calls().size();
+  m_previousCallCount += m_agent->Calls().size();
   for (auto& [name, entry] : m_entries) {
     entry.inbox.push_back(
       PeerDown{ ProcessId(kAgent), Incarnation(m_agentIncarnation), "connection reset" });
@@ -161,7 +161,7 @@
 
 std::size_t RequestHarness::TargetCallCount() const
 {
-  return m_formerRuns + m_agent->Calls().size();
+  return m_previousCallCount + m_agent->Calls().size();
 }
 
 void RequestHarness::Advance(Duration duration)
@@ -195,13 +195,13 @@
   std::vector<EntryOutput> outbox;
   entry.role->Tick(m_now, inbox, outbox);
   for (const EntryOutput& output : outbox) {
-    TakeFromEntry(name, entry, output);
+    HandleEntryOutput(name, entry, output);
   }
 }
 
-void RequestHarness::TakeFromEntry(const std::string& name,
-                                   EntryProcess& entry,
-                                   const EntryOutput& output)
+void RequestHarness::HandleEntryOutput(const std::string& name,
+                                       EntryProcess& entry,
+                                       const EntryOutput& output)
 {
   if (m_recording) {
     m_session.Left(m_now, name, output);
@@ -217,8 +217,8 @@
     return;
   }
   if (frame->peer.Get() == kControl) {
-    PlayControl(name, entry, frame->envelope->body);
-  } else if (frame->peer.Get() == kAgent && !entry.swallow) {
+    HandleControlFrame(name, entry, frame->envelope->body);
+  } else if (frame->peer.Get() == kAgent && !entry.dropFrames) {
     FrameIn arrival{ ProcessId(name), Incarnation(entry.incarnation), frame->envelope };
     if (holdStarts && frame->envelope->body.type == wire::Body::Start) {
       m_held.push_back(std::move(arrival));
@@ -228,7 +228,7 @@
   }
 }
 
-void RequestHarness::TakeFromAgent(const AgentOutput& output)
+void RequestHarness::HandleAgentOutput(const AgentOutput& output)
 {
   if (m_recording && IsAboutRequests(output)) {
     m_session.Left(m_now, kAgent, output);
@@ -238,7 +238,7 @@
     return;
   }
   const auto entry = m_entries.find(frame->peer.Get());
-  if (entry != m_entries.end() && !entry->second.swallow) {
+  if (entry != m_entries.end() && !entry->second.dropFrames) {
     entry->second.fromAgent.push_back(
       FrameIn{ ProcessId(kAgent), Incarnation(m_agentIncarnation), frame->envelope });
   }
@@ -251,9 +251,9 @@
     FrameIn{ ProcessId(kControl), Incarnation(1), MakeEnvelope(std::move(message)) });
 }
 
-void RequestHarness::PlayControl(const std::string&,
-                                 EntryProcess& entry,
-                                 const wire::BodyUnion& body)
+void RequestHarness::HandleControlFrame(const std::string&,
+                                        EntryProcess& entry,
+                                        const wire::BodyUnion& body)
 {
   if (const auto* query = body.AsConfigQuery()) {
     wire::ConfigStateT state = MakeCatalogueState(1);
@@ -271,12 +271,12 @@
   }
 }
 
-bool RequestHarness::IsAlive(const std::string& holder) const
+bool RequestHarness::IsCurrentIncarnation(const std::string& holder) const
 {
   const ProcessId process = EntryOf(RequestId(holder));
   const auto entry = m_entries.find(process.Get());
-  const std::string life = process.Get() + "." + std::to_string(entry->second.incarnation) + ".";
-  return holder.starts_with(life);
+  const std::string prefix = process.Get() + "." + std::to_string(entry->second.incarnation) + ".";
+  return holder.starts_with(prefix);
 }
 
 wire::ClaimReplyT RequestHarness::AnswerClaim(const wire::ClaimRequestT& request)
@@ -301,7 +301,8 @@
   } else if (claim.holder == request.request) {
     reply.state = wire::ClaimState::Granted;
   } else {
-    reply.state = IsAlive(claim.holder) ? wire::ClaimState::Running : wire::ClaimState::Unknown;
+    reply.state =
+      IsCurrentIncarnation(claim.holder) ? wire::ClaimState::Running : wire::ClaimState::Unknown;
   }
   return reply;
 }
--- a/tests/support/request_harness.hpp
+++ b/tests/support/request_harness.hpp
@@ -12,8 +12,8 @@
 
 namespace gooseberrysail::test {
 
-/// \brief Entries and one agent, the systems of the daemon, joined under scripted time. Control and
-/// the target are played; each frame can be held back, dropped or turned round on its way.
+/// \brief Entry roles and one agent role of the daemon, connected under scripted time. Control and
+/// the target are simulated; frames in transit can be delayed, dropped or reordered.
 /// \code
 /// RequestHarness world;
 /// const std::uint64_t chat = world.Chat("entry-1", true);
@@ -36,7 +36,7 @@
   void Compare(const std::string& path) const;
 
   void Advance(Duration duration);
-  /// \brief Time passes until every frame under way has arrived and was answered.
+  /// \brief Advances the time until all frames in transit have arrived and been answered.
   void Settle() { Advance(std::chrono::milliseconds(100)); }
 
   std::uint64_t Chat(const std::string& entry, bool stream);
@@ -45,24 +45,27 @@
   [[nodiscard]] const std::string& BodyOf(const std::string& entry, std::uint64_t exchange);
   [[nodiscard]] unsigned StatusOf(const std::string& entry, std::uint64_t exchange);
 
-  /// \brief Frames between this entry and the agent vanish, as on a connection that somebody in
-  /// between has forgotten; neither end sees it.
-  void DropFrames(const std::string& entry, bool swallow) { m_entries.at(entry).swallow = swallow; }
-  /// \brief Both ends notice by missing heartbeats, and a new connection stands.
+  /// \brief Drops all frames between this entry and the agent, as when a middlebox has lost the
+  /// state of their connection; neither end is notified.
+  void DropFrames(const std::string& entry, bool dropFrames)
+  {
+    m_entries.at(entry).dropFrames = dropFrames;
+  }
+  /// \brief Ends the connection at both ends by missing heartbeats, and opens a new one.
   void Reconnect(const std::string& entry);
-  /// \brief kill -9 and a new life with an empty memory.
+  /// \brief Replaces the process by a new incarnation without state, as after kill -9.
   void RestartEntry(const std::string& entry);
   void RestartAgent();
 
-  /// \brief What happens to frames from the agent to entries before they are handed over; the
-  /// default leaves them in order.
+  /// \brief Changes the frames from the agent before an entry receives them; empty leaves them as
+  /// they are.
   std::function<void(std::vector<FrameIn>&)> rewriteAgentFrames;
-  /// \brief Keeps frames from entries to the agent; Release hands them over late.
+  /// \brief Holds back Start frames from entries to the agent until ReleaseHeld.
   bool holdStarts = false;
   void ReleaseHeld();
 
   [[nodiscard]] AgentHarness& Agent() { return *m_agent; }
-  /// \brief Calls that reached the target, over all lives of the agent.
+  /// \brief Number of calls to the target, over all incarnations of the agent.
   [[nodiscard]] std::size_t TargetCallCount() const;
 
 private:
@@ -76,7 +79,7 @@
     std::unique_ptr<EntryRole> role;
     std::uint64_t incarnation = 0;
     std::uint64_t lastExchange = 0;
-    bool swallow = false;
+    bool dropFrames = false;
     std::vector<EntryInput> inbox;
     std::vector<FrameIn> fromAgent;
     std::map<std::uint64_t, CallerView> callers;
@@ -93,12 +96,14 @@
   void StartAgent();
   void ConnectAgent(const std::string& name, EntryProcess& entry);
   void TickEntry(const std::string& name, EntryProcess& entry);
-  void TakeFromEntry(const std::string& name, EntryProcess& entry, const EntryOutput& output);
-  void TakeFromAgent(const AgentOutput& output);
-  void PlayControl(const std::string& name, EntryProcess& entry, const wire::BodyUnion& body);
+  void HandleEntryOutput(const std::string& name, EntryProcess& entry, const EntryOutput& output);
+  void HandleAgentOutput(const AgentOutput& output);
+  void HandleControlFrame(const std::string& name,
+                          EntryProcess& entry,
+                          const wire::BodyUnion& body);
   [[nodiscard]] wire::ClaimReplyT AnswerClaim(const wire::ClaimRequestT& request);
   void FinishClaim(const wire::ClaimOutcomeT& outcome);
-  [[nodiscard]] bool IsAlive(const std::string& holder) const;
+  [[nodiscard]] bool IsCurrentIncarnation(const std::string& holder) const;
   std::uint64_t Call(const std::string& entry, HttpRequestIn http);
   template<class MessageT>
   void FromControl(EntryProcess& entry, MessageT message);
@@ -106,7 +111,7 @@
   Shape m_shape;
   std::uint64_t m_agentIncarnation = 10;
   std::unique_ptr<AgentHarness> m_agent;
-  std::size_t m_formerRuns = 0;
+  std::size_t m_previousCallCount = 0;
   TimePoint m_now{ std::chrono::hours(100) };
   GoldenSession m_session;
   bool m_recording = false;
--- a/tests/unit/admission_limits_test.cpp
+++ b/tests/unit/admission_limits_test.cpp
@@ -9,13 +9,13 @@
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
-using testing::AdmissionWorld;
+using testing::AdmissionFixture;
 using testing::Limits;
 
 TEST(AdmissionLimits, BoundTheRate)
 {
-  AdmissionWorld world;
-  world.admission.SetLimits(AdmissionWorld::Registre(), Limits(2));
+  AdmissionFixture world;
+  world.admission.SetLimits(AdmissionFixture::Registre(), Limits(2));
   EXPECT_TRUE(world.Decide().Admitted());
   EXPECT_TRUE(world.Decide().Admitted());
 
@@ -23,7 +23,7 @@
   EXPECT_EQ(refused.reason, RefusalReason::kWorkspaceRate);
   EXPECT_GE(refused.retryAfter, milliseconds(500));
 
-  SECTION("the time told is enough")
+  SECTION("after Retry-After the request is admitted")
   {
     world.now += refused.retryAfter;
     EXPECT_TRUE(world.Decide().Admitted());
@@ -32,8 +32,8 @@
 
 TEST(AdmissionLimits, BoundConcurrency)
 {
-  AdmissionWorld world;
-  world.admission.SetLimits(AdmissionWorld::Registre(), Limits(0, 0, 1));
+  AdmissionFixture world;
+  world.admission.SetLimits(AdmissionFixture::Registre(), Limits(0, 0, 1));
   EXPECT_TRUE(world.Decide().Admitted());
   EXPECT_EQ(world.Decide().reason, RefusalReason::kWorkspaceConcurrency);
   world.Finish();
@@ -42,25 +42,25 @@
 
 TEST(AdmissionLimits, ChargeTokensByWhatWasUsed)
 {
-  AdmissionWorld world;
-  world.admission.SetLimits(AdmissionWorld::Registre(), Limits(0, 1000));
+  AdmissionFixture world;
+  world.admission.SetLimits(AdmissionFixture::Registre(), Limits(0, 1000));
   EXPECT_TRUE(world.Decide().Admitted());
-  SECTION("an answer that cost more than a second's worth leaves a debt")
+  SECTION("an answer above the tokens of one second delays the next admission")
   {
-    world.Finish(AdmissionWorld::Registre(), seconds(1), 3000);
+    world.Finish(AdmissionFixture::Registre(), seconds(1), 3000);
     EXPECT_EQ(world.Decide().reason, RefusalReason::kWorkspaceRate);
     world.now += milliseconds(1900);
     EXPECT_FALSE(world.Decide().Admitted());
     world.now += milliseconds(1200);
     EXPECT_TRUE(world.Decide().Admitted());
   }
-  SECTION("running requests count with the usual cost before their end")
+  SECTION("running requests are charged the mean cost before their end")
   {
     EXPECT_FALSE(world.Decide().Admitted());
   }
 }
 
-/// Three entries before callers that send three times the limit, balanced evenly or not.
+/// Three entries whose callers send three times the limit, balanced evenly or not.
 class SharedLimit
 {
 public:
@@ -68,8 +68,8 @@
 
   explicit SharedLimit(double limit = kLimit)
   {
-    for (AdmissionWorld& entry : entries) {
-      entry.admission.SetLimits(AdmissionWorld::Registre(), Limits(limit));
+    for (AdmissionFixture& entry : entries) {
+      entry.admission.SetLimits(AdmissionFixture::Registre(), Limits(limit));
     }
   }
 
@@ -81,7 +81,7 @@
     }
     const std::vector<double> shares = DivideByDemand(kLimit, demands);
     for (std::size_t i = 0; i < entries.size(); ++i) {
-      entries[i].admission.SetShare(entries[i].now, AdmissionWorld::Registre(), shares[i], 0, 0);
+      entries[i].admission.SetShare(entries[i].now, AdmissionFixture::Registre(), shares[i], 0, 0);
     }
   }
 
@@ -106,28 +106,26 @@
     return static_cast<double>(admitted) / length;
   }
 
-  std::array<AdmissionWorld, 3> entries;
+  std::array<AdmissionFixture, 3> entries;
 };
 
-// Symptom: a workspace gets three times what it pays for.
-// Sequence: its calls are balanced over three entries.
-// Cause: each entry grants the whole limit.
+// Guards against a workspace that gets three times its limit: its calls are balanced over three
+// entries, and each entry applies the whole limit.
 TEST(AdmissionLimits, AreSharedByThreeEntries)
 {
   SharedLimit shared;
   shared.Run(10, true, { 30, 30, 30 });
   EXPECT_NEAR(shared.Run(20, true, { 30, 30, 30 }), SharedLimit::kLimit, 1);
 
-  SECTION("when the balancer sends most to one of them, its share grows")
+  SECTION("the share of an entry that gets most of the calls grows")
   {
     shared.Run(10, true, { 70, 10, 10 });
     EXPECT_NEAR(shared.Run(20, true, { 70, 10, 10 }), SharedLimit::kLimit, 2);
   }
 }
 
-// Symptom: limits treble for as long as control is away.
-// Sequence: shares cease to arrive; each entry takes up the catalogue's limit again.
-// Cause: without news an entry can't tell how many share the limit.
+// Guards against limits that treble while control is unreachable: without new shares, each entry
+// would apply the whole limit of the catalogue, as it doesn't know how many entries divide it.
 TEST(AdmissionLimits, HoldWhenSharesLapse)
 {
   SharedLimit shared;
@@ -135,10 +133,10 @@
   EXPECT_LE(shared.Run(60, false, { 30, 30, 30 }), SharedLimit::kLimit + 1);
   EXPECT_GE(shared.Run(60, false, { 30, 30, 30 }), SharedLimit::kLimit - 1);
 
-  SECTION("a new limit from the catalogue is divided as the last one was")
+  SECTION("a new limit from the catalogue is divided by the last shares")
   {
-    for (AdmissionWorld& entry : shared.entries) {
-      entry.admission.SetLimits(AdmissionWorld::Registre(), Limits(SharedLimit::kLimit / 2));
+    for (AdmissionFixture& entry : shared.entries) {
+      entry.admission.SetLimits(AdmissionFixture::Registre(), Limits(SharedLimit::kLimit / 2));
     }
     EXPECT_NEAR(shared.Run(30, false, { 30, 30, 30 }), SharedLimit::kLimit / 2, 1);
   }
--- a/tests/unit/admission_overload_test.cpp
+++ b/tests/unit/admission_overload_test.cpp
@@ -10,30 +10,33 @@
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
-using testing::AdmissionWorld;
+using testing::AdmissionFixture;
 
 constexpr std::uint32_t kSlots = 100;
 
-/// Slots all taken, answers of two seconds, so 50 end each second.
+/// 100 slots and a service time of two seconds: when all slots are in use, 50 requests end per
+/// second.
 class AdmissionOverload : public ::testing::Test
 {
 protected:
   void SetUp() override
   {
-    world.Learn(seconds(2));
-    world.admission.SetCapacity(AdmissionWorld::Model(), kSlots);
+    world.RecordServiceTime(seconds(2));
+    world.admission.SetCapacity(AdmissionFixture::Model(), kSlots);
   }
 
-  void Occupy(double inFlight) { world.admission.SetOccupancy(AdmissionWorld::Model(), inFlight); }
+  void Occupy(double inFlight)
+  {
+    world.admission.SetOccupancy(AdmissionFixture::Model(), inFlight);
+  }
 
-  AdmissionWorld world;
+  AdmissionFixture world;
 };
 
-// Symptom: callers wait for half a minute and then get nothing, while engines work on answers
-// that nobody waits for any more.
-// Sequence: more arrives than ends; queues grow until each wait is longer than the deadline.
-// Cause: what can't be served in time was let in.
-TEST_F(AdmissionOverload, RefusesEarlyAndTellsWhenThereIsRoom)
+// Guards against callers that wait for half a minute and get no answer, while engines work on
+// requests that have expired: more requests arrive than end, those that can't be served in time are
+// admitted, and queues grow until each wait is longer than the deadline.
+TEST_F(AdmissionOverload, RefusesEarlyWithTheExpectedWait)
 {
   Occupy(kSlots * 0.5);
   EXPECT_TRUE(world.Decide().Admitted());
@@ -41,16 +44,16 @@
   Occupy(kSlots * 2);
   const AdmissionDecision refused = world.Decide();
   EXPECT_EQ(refused.reason, RefusalReason::kOverload);
-  // A hundred must end first, at a hundred a second while two hundred are in flight.
+  // 100 requests must end first; with 200 in flight, 100 end per second.
   EXPECT_GE(refused.retryAfter, milliseconds(700));
   EXPECT_LE(refused.retryAfter, milliseconds(1500));
 
-  SECTION("a longer queue, a later return")
+  SECTION("a longer queue gives a longer Retry-After")
   {
     Occupy(kSlots * 8);
     EXPECT_GT(world.Decide().retryAfter, refused.retryAfter);
   }
-  SECTION("a request whose deadline allows no wait gets in only on a free slot")
+  SECTION("a request whose deadline allows no wait is admitted only to a free slot")
   {
     world.deadline = seconds(1);
     Occupy(kSlots);
@@ -60,21 +63,20 @@
   }
 }
 
-// Symptom: a foreman waits behind nightly summaries.
-// Sequence: batch work fills the last slots just before interactive work arrives.
-// Cause: all classes are let in up to the same bound.
-TEST_F(AdmissionOverload, LessUrgentClassesGiveWayFirst)
+// Guards against interactive requests that wait behind batch work: batch work takes the last slots
+// just before interactive work arrives, if all classes are admitted up to the same bound.
+TEST_F(AdmissionOverload, LowerPriorityClassesAreRefusedFirst)
 {
   const auto admitted = [&](PriorityClass priorityClass) {
-    return world.Decide(AdmissionWorld::Registre(), priorityClass).Admitted();
+    return world.Decide(AdmissionFixture::Registre(), priorityClass).Admitted();
   };
-  SECTION("nearly full: batch work leaves room")
+  SECTION("nearly full: batch work is refused")
   {
     Occupy(kSlots * 0.95);
     EXPECT_FALSE(admitted(PriorityClass::kBatch));
     EXPECT_TRUE(admitted(PriorityClass::kStandard));
   }
-  SECTION("a short queue: only interactive work joins it")
+  SECTION("a short queue: only interactive work is admitted")
   {
     Occupy(kSlots * 1.07);
     EXPECT_FALSE(admitted(PriorityClass::kStandard));
@@ -82,10 +84,9 @@
   }
 }
 
-// Symptom: a small team gets refusals all day because a large one floods the model.
-// Sequence: the large workspace takes each slot as it comes free.
-// Cause: whoever asks most often gets what there is.
-TEST_F(AdmissionOverload, AWorkspaceWithLittleInFlightGoesBeforeAFlood)
+// Guards against a small workspace that is always refused because a large one floods the model: the
+// workspace that sends most requests takes each slot as it becomes free.
+TEST_F(AdmissionOverload, AWorkspaceWithFewInFlightIsPreferredOverAFlood)
 {
   const WorkspaceId large("large");
   const WorkspaceId small("small");
@@ -99,11 +100,9 @@
   EXPECT_TRUE(world.Decide(small).Admitted());
 }
 
-// Symptom: a wave of callers returns each second, most are refused again, and slots lie idle in
-// between.
-// Sequence: many are refused at one moment and told the same time.
-// Cause: Retry-After is a constant.
-TEST_F(AdmissionOverload, ReturnsAreSpreadOverTheTimeThatServingThemTakes)
+// Guards against synchronised retries: with a constant Retry-After, callers refused at one moment
+// all retry at once, most are refused again, and slots are idle in between.
+TEST_F(AdmissionOverload, RetriesAreSpreadOverTheServiceTime)
 {
   Occupy(kSlots * 2);
   std::vector<Duration> returns;
@@ -119,17 +118,17 @@
   for (const auto& [second, count] : perSecond) {
     most = std::max(most, count);
   }
-  EXPECT_LE(most, 60); // 50 to 100 end in a second.
+  EXPECT_LE(most, 60); // 50 to 100 requests end per second.
   std::ranges::sort(returns);
   EXPECT_EQ(std::ranges::adjacent_find(returns), returns.end());
-  EXPECT_LE(returns.back(), AdmissionPolicy{}.mostRetryAfter * 5 / 4);
+  EXPECT_LE(returns.back(), AdmissionPolicy{}.maxRetryAfter * 5 / 4);
 }
 
-TEST_F(AdmissionOverload, WithoutReportsOwnRequestsCount)
+TEST_F(AdmissionOverload, WithoutOccupancyReportsOwnRequestsCount)
 {
-  AdmissionWorld alone;
-  alone.Learn(seconds(2));
-  alone.admission.SetCapacity(AdmissionWorld::Model(), 10);
+  AdmissionFixture alone;
+  alone.RecordServiceTime(seconds(2));
+  alone.admission.SetCapacity(AdmissionFixture::Model(), 10);
   int admitted = 0;
   for (int i = 0; i < 50; ++i) {
     admitted += alone.Decide().Admitted() ? 1 : 0;
@@ -138,14 +137,14 @@
   EXPECT_LE(admitted, 12);
 }
 
-TEST_F(AdmissionOverload, ARequestThatDidNotRunTeachesNoServiceTime)
+TEST_F(AdmissionOverload, ARequestThatDidNotRunAddsNoServiceTime)
 {
   Occupy(kSlots * 2);
   const Duration before = world.Decide().retryAfter;
   Occupy(0);
   for (int i = 0; i < 50; ++i) {
     ASSERT_TRUE(world.Decide().Admitted());
-    world.Finish(AdmissionWorld::Registre(), Duration{}, 0);
+    world.Finish(AdmissionFixture::Registre(), Duration{}, 0);
   }
   Occupy(kSlots * 2);
   world.now += seconds(60);
--- a/tests/unit/entry_claims_test.cpp
+++ b/tests/unit/entry_claims_test.cpp
@@ -14,7 +14,7 @@
 void Prepare(EntryFixture& entry)
 {
   entry.Boot();
-  entry.PeerUpFrom("agent-9", 3);
+  entry.ConnectPeer("agent-9", 3);
   entry.Routes({ { 12, "agent-9" } }, "booking-portal");
 }
 
@@ -39,29 +39,29 @@
   return ack;
 }
 
-TEST(EntryClaims, NothingLeavesBeforeTheClaimIsGranted)
+TEST(EntryClaims, NoAttemptIsSentBeforeTheClaimIsGranted)
 {
-  // Symptom: one booking is made twice. Events: a caller resends its booking through a second
-  // entry while the first runs it. Cause: the first entry sent it before its claim was committed,
-  // so the second one found no claim.
+  // Guards against a booking that is made twice: a caller resends it through a second entry while
+  // the first entry runs it, and the second one finds no claim because the first one sent the
+  // booking before its claim was committed.
   EntryFixture entry;
   Prepare(entry);
   const std::uint64_t booking = entry.Book(kKeyed);
-  SECTION("the claim is asked for, and again until answered")
+  SECTION("the claim request is resent until answered")
   {
     EXPECT_TRUE(entry.Sent<wire::StartT>().empty());
     entry.Advance(std::chrono::milliseconds(600));
     EXPECT_EQ(entry.Sent<wire::ClaimRequestT>().size(), 2U);
     EXPECT_TRUE(entry.Sent<wire::StartT>().empty());
   }
-  SECTION("granted: one start, and a second grant starts nothing")
+  SECTION("a grant sends one Start, a second grant none")
   {
     entry.Frame("control-1", Reply(wire::ClaimState::Granted));
     entry.Frame("control-1", Reply(wire::ClaimState::Granted));
     ASSERT_EQ(entry.Sent<wire::StartT>().size(), 1U);
     EXPECT_FALSE(entry.Sent<wire::StartT>()[0].repeatable);
   }
-  SECTION("the outcome with the answer goes to control until it is acknowledged")
+  SECTION("the outcome with the answer is resent to control until acknowledged")
   {
     wire::OutputT output = MakeOutput(kFirst, 1, 0, "booked", 201, true);
     output.headers.push_back(MakeWireHeader("Content-Type", "text/plain"));
@@ -76,7 +76,7 @@
     EXPECT_EQ(std::string(outcomes[0].body.begin(), outcomes[0].body.end()), "booked");
     ASSERT_EQ(outcomes[0].headers.size(), 1U);
   }
-  SECTION("a shutdown waits for that")
+  SECTION("a shutdown waits for the acknowledgement")
   {
     entry.Tick({ StopRequested{} });
     EXPECT_FALSE(entry.Stopped());
@@ -85,14 +85,14 @@
   }
 }
 
-TEST(EntryClaims, AnotherHolderOfTheKeyDecidesTheAnswer)
+TEST(EntryClaims, AnotherHolderOfTheKeyDeterminesTheAnswer)
 {
   struct Case
   {
-    const char* story;
+    const char* label;
     wire::ClaimReplyT reply;
     unsigned status;
-    const char* says;
+    const char* expectedText;
   };
   std::vector<Case> cases;
   cases.push_back({ "running", Reply(wire::ClaimState::Running, "entry-2.5.8"), 409, "running" });
@@ -109,20 +109,21 @@
     { "other body", Reply(wire::ClaimState::Finished, "entry-2.5.8"), 422, "other-request" });
   cases.back().reply.bodyMatches = false;
   for (const Case& each : cases) {
-    SECTION(each.story)
+    SECTION(each.label)
     {
       EntryFixture entry;
       Prepare(entry);
       const std::uint64_t booking = entry.Book(kKeyed);
       entry.Frame("control-1", each.reply);
       EXPECT_EQ(entry.Caller(booking).status, each.status);
-      EXPECT_THAT(entry.Caller(booking).body, HasSubstr(each.says));
+      EXPECT_THAT(entry.Caller(booking).body, HasSubstr(each.expectedText));
       EXPECT_THAT(entry.Caller(booking).body, HasSubstr(R"("holder":"entry-2.5.8")"));
       EXPECT_TRUE(entry.Sent<wire::StartT>().empty());
-      EXPECT_TRUE(entry.Sent<wire::ClaimOutcomeT>().empty()) << "the claim is another's";
+      EXPECT_TRUE(entry.Sent<wire::ClaimOutcomeT>().empty())
+        << "the claim belongs to another request";
     }
   }
-  SECTION("finished: its answer again, marked")
+  SECTION("finished: its answer is replayed and marked")
   {
     EntryFixture entry;
     Prepare(entry);
@@ -139,12 +140,11 @@
   }
 }
 
-TEST(EntryClaims, WhatNeverRanIsGivenBack)
+TEST(EntryClaims, TheClaimOfARequestThatNeverRanIsReleased)
 {
-  // Symptom: after "not run", the caller's retry with the same key is refused for good. Events: a
-  // claim is granted, every group refuses; or the grant arrives after the caller's deadline.
-  // Cause: the claim was kept for work that nobody runs.
-  SECTION("refused before start")
+  // Guards against a retry with the same key that is refused for good after "not run": the claim is
+  // kept although every group refused the request, or it was granted after the caller's deadline.
+  SECTION("refused before its start")
   {
     EntryFixture entry;
     Prepare(entry);
@@ -158,7 +158,7 @@
     ASSERT_EQ(entry.Sent<wire::ClaimOutcomeT>().size(), 1U);
     EXPECT_FALSE(entry.Sent<wire::ClaimOutcomeT>()[0].ran);
   }
-  SECTION("no grant within the deadline, then a late one")
+  SECTION("granted after the deadline")
   {
     EntryFixture entry;
     Prepare(entry);
@@ -179,27 +179,27 @@
   }
 }
 
-TEST(EntryClaims, AKeyedRunGoesOnAfterItsCallerLeftAndItsAgentVanished)
+TEST(EntryClaims, AKeyedRequestKeepsItsClaimWithoutCallerOrAgent)
 {
   EntryFixture entry;
   Prepare(entry);
   const std::uint64_t booking = entry.Book(kKeyed);
   entry.Frame("control-1", Reply(wire::ClaimState::Granted));
-  SECTION("the caller leaves; the answer goes to the claim")
+  SECTION("the caller disconnects: the answer is stored with the claim")
   {
     entry.Tick({ HttpCallerGone{ ExchangeId(booking) } });
     entry.Frame("agent-9", MakeOutput(kFirst, 1, 0, "booked", 201, true));
     ASSERT_EQ(entry.Sent<wire::ClaimOutcomeT>().size(), 1U);
     EXPECT_EQ(entry.Sent<wire::ClaimOutcomeT>()[0].status, 201U);
   }
-  SECTION("an agent that restarts: the run is unknown, so the claim stays taken")
+  SECTION("the agent restarts: the outcome is unknown, so the claim is kept")
   {
     EntryFixture other;
     Prepare(other);
     other.Book(kKeyed);
     other.Frame("control-1", Reply(wire::ClaimState::Granted));
-    other.PeerDownFrom("agent-9", 3);
-    other.PeerUpFrom("agent-9", 4);
+    other.DisconnectPeer("agent-9", 3);
+    other.ConnectPeer("agent-9", 4);
     ASSERT_EQ(other.Sent<wire::ClaimOutcomeT>().size(), 1U);
     EXPECT_TRUE(other.Sent<wire::ClaimOutcomeT>()[0].ran);
     EXPECT_EQ(other.Sent<wire::ClaimOutcomeT>()[0].outcome, "cut");
--- a/tests/unit/entry_lookup_test.cpp
+++ b/tests/unit/entry_lookup_test.cpp
@@ -10,7 +10,7 @@
 
 constexpr const char* kElsewhere = "entry-2.5.8";
 
-wire::RequestAnswerT Told(std::uint64_t nonce, const std::string& request)
+wire::RequestAnswerT FoundAnswer(std::uint64_t nonce, const std::string& request)
 {
   wire::RequestAnswerT answer;
   answer.nonce = nonce;
@@ -22,36 +22,36 @@
   return answer;
 }
 
-TEST(EntryLookup, TheEntryThatTheIdNamesIsAsked)
+TEST(EntryLookup, TheEntryNamedByTheIdIsQueried)
 {
   EntryFixture entry;
   entry.Boot();
-  SECTION("over control while no connection with it stands")
+  SECTION("through control while it isn't connected")
   {
     entry.Call("GET", std::string("/requests/") + kElsewhere);
     EXPECT_EQ(entry.LastReceiver<wire::RequestQueryT>(), "control-1");
   }
-  SECTION("else directly, for the caller's workspace only")
+  SECTION("directly when connected, for the caller's workspace only")
   {
-    entry.PeerUpFrom("entry-2", 5, "entry");
+    entry.ConnectPeer("entry-2", 5, "entry");
     entry.Clear();
     const std::uint64_t asked = entry.Call("GET", std::string("/requests/") + kElsewhere);
     ASSERT_EQ(entry.Sent<wire::RequestQueryT>("entry-2").size(), 1U);
     const wire::RequestQueryT query = entry.Sent<wire::RequestQueryT>("entry-2")[0];
     EXPECT_EQ(query.workspace, "hire-desk");
-    entry.Frame("entry-2", Told(query.nonce, kElsewhere));
+    entry.Frame("entry-2", FoundAnswer(query.nonce, kElsewhere));
     EXPECT_EQ(entry.Caller(asked).status, 200U);
     EXPECT_THAT(entry.Caller(asked).body, HasSubstr(R"("outcome":"cut")"));
   }
-  SECTION("an answer about another request isn't taken for it")
+  SECTION("an answer about another request gives 404")
   {
     entry.Clear();
     const std::uint64_t asked = entry.Call("GET", std::string("/requests/") + kElsewhere);
     const wire::RequestQueryT query = entry.Sent<wire::RequestQueryT>().at(0);
-    entry.Frame("entry-2", Told(query.nonce, "entry-2.5.9"));
+    entry.Frame("entry-2", FoundAnswer(query.nonce, "entry-2.5.9"));
     EXPECT_EQ(entry.Caller(asked).status, 404U);
   }
-  SECTION("nobody answers: said so, and when to ask again")
+  SECTION("no answer gives 503 with Retry-After")
   {
     const std::uint64_t asked = entry.Call("GET", std::string("/requests/") + kElsewhere);
     entry.Advance(std::chrono::milliseconds(2100));
@@ -61,23 +61,23 @@
   }
 }
 
-TEST(EntryLookup, OthersAreToldByWorkspace)
+TEST(EntryLookup, QueriesOfOtherProcessesAreFilteredByWorkspace)
 {
   EntryFixture entry;
   entry.Boot();
-  entry.PeerUpFrom("agent-1", 3);
+  entry.ConnectPeer("agent-1", 3);
   entry.Routes({ { 11, "agent-1" } });
   entry.Chat();
   struct Case
   {
-    const char* story;
+    const char* label;
     const char* workspace;
     bool found;
   };
-  for (const Case& each : { Case{ "its own", "hire-desk", true },
-                            Case{ "another's", "registry", false },
-                            Case{ "an operator's question", "", true } }) {
-    SECTION(each.story)
+  for (const Case& each : { Case{ "the workspace of the request", "hire-desk", true },
+                            Case{ "another workspace", "registry", false },
+                            Case{ "an operator's query", "", true } }) {
+    SECTION(each.label)
     {
       entry.Clear();
       wire::RequestQueryT query;
--- a/tests/unit/entry_path_test.cpp
+++ b/tests/unit/entry_path_test.cpp
@@ -10,15 +10,15 @@
 using ::testing::HasSubstr;
 using ::testing::Not;
 
-TEST(EntryPath, ACallGoesToTheGroupAndItsAnswerToTheCaller)
+TEST(EntryPath, ACallIsSentToTheGroupAndItsAnswerToTheCaller)
 {
   EntryFixture entry;
   entry.Boot();
   entry.Routes({ { 11, "agent-1" } });
   EXPECT_EQ(entry.LastReceiver<wire::PingT>(), "agent-1") << "an unconnected head is dialled";
-  entry.PeerUpFrom("agent-1", 3);
+  entry.ConnectPeer("agent-1", 3);
 
-  SECTION("a model call, body unchanged, token kept back")
+  SECTION("a model call is sent without the caller's token")
   {
     const std::uint64_t chat = entry.Chat(false, { { "X-Site", "Kingston 7" } });
     ASSERT_EQ(entry.Sent<wire::StartT>().size(), 1U);
@@ -44,7 +44,7 @@
     ASSERT_EQ(entry.Sent<wire::AckT>().size(), 1U);
     EXPECT_TRUE(entry.Sent<wire::AckT>()[0].done);
   }
-  SECTION("what became of it, for its own workspace only")
+  SECTION("its record is visible to its own workspace only")
   {
     const std::string record = entry.Record("entry-1.7.1");
     EXPECT_THAT(record, HasSubstr(R"("outcome":"completed")"));
@@ -58,7 +58,7 @@
 {
   EntryFixture entry;
   entry.Boot();
-  entry.PeerUpFrom("agent-9", 3);
+  entry.ConnectPeer("agent-9", 3);
   entry.Routes({ { 12, "agent-9" } }, "booking-portal");
   entry.Call(
     "PUT", "/services/booking-portal/stock/rollers?depot=3", "body", { { "If-Match", "2" } });
@@ -69,7 +69,7 @@
   EXPECT_EQ(start.headers.at(0)->name, "If-Match");
   EXPECT_TRUE(start.repeatable);
 
-  SECTION("a call that may not be repeated says so to the agent")
+  SECTION("a call that is not repeatable is marked for the agent")
   {
     entry.Clear();
     entry.Book();
@@ -77,11 +77,11 @@
   }
 }
 
-TEST(EntryPath, StreamedPartsGoOutAsTheyCome)
+TEST(EntryPath, StreamedOutputIsForwardedAtOnce)
 {
   EntryFixture entry;
   entry.Boot();
-  entry.PeerUpFrom("agent-1", 3);
+  entry.ConnectPeer("agent-1", 3);
   entry.Routes({ { 11, "agent-1" } });
   const std::uint64_t chat = entry.Chat(true);
   wire::OutputT first = MakeOutput("entry-1.7.1", 1, 0, "data: a\n\n", 200);
@@ -94,23 +94,23 @@
   EXPECT_TRUE(entry.Caller(chat).ended);
 }
 
-TEST(EntryPath, BadCallsGetClearErrorsAndRunNothing)
+TEST(EntryPath, InvalidCallsGetSpecificErrorsAndRunNothing)
 {
   EntryFixture entry;
   entry.Boot();
-  entry.PeerUpFrom("agent-1", 3);
+  entry.ConnectPeer("agent-1", 3);
   entry.Routes({ { 11, "agent-1" } });
 
   struct Case
   {
-    const char* story;
+    const char* label;
     std::string method;
     std::string target;
     std::string body;
     std::vector<HttpHeader> headers;
     std::string_view token;
     unsigned status;
-    const char* says;
+    const char* expectedText;
   };
   const std::string chat = "/v1/chat/completions";
   const std::vector<HttpHeader> tooMany(kMaxHeaders + 1, { "X-A", "b" });
@@ -118,7 +118,7 @@
     { "no JSON", "POST", chat, "{", {}, kToken, 400, "not JSON" },
     { "no object", "POST", chat, "[]", {}, kToken, 400, "not a JSON object" },
     { "no model", "POST", chat, "{}", {}, kToken, 400, "`model`" },
-    { "odd stream", "POST", chat, R"({"model":"m","stream":1})", {}, kToken, 400, "`stream`" },
+    { "invalid stream", "POST", chat, R"({"model":"m","stream":1})", {}, kToken, 400, "`stream`" },
     { "unknown model", "POST", chat, R"({"model":"gone"})", {}, kToken, 404, "model gone" },
     { "unknown service", "GET", "/services/gone/x", "", {}, kToken, 404, "service gone" },
     { "no service", "GET", "/services/", "", {}, kToken, 404, "no service" },
@@ -145,13 +145,13 @@
     { "many headers", "GET", "/v1/models", "", tooMany, kToken, 413, "headers" },
   };
   for (const Case& each : cases) {
-    SECTION(each.story)
+    SECTION(each.label)
     {
       const auto exchange =
         entry.Call(each.method, each.target, each.body, each.headers, each.token);
       const CallerView& caller = entry.Caller(exchange);
       EXPECT_EQ(caller.status, each.status);
-      EXPECT_THAT(caller.body, HasSubstr(each.says));
+      EXPECT_THAT(caller.body, HasSubstr(each.expectedText));
       EXPECT_THAT(caller.body, HasSubstr(R"("outcome":"not-run")"));
       EXPECT_THAT(caller.Header("X-Request-Id"), HasSubstr("entry-1.7."));
       EXPECT_TRUE(caller.ended);
@@ -172,9 +172,9 @@
 
 TEST(EntryPath, AnUnconfirmedCatalogueAdmitsNothing)
 {
-  // Symptom: a workspace that was removed is still served. Events: the entry is cut off from
-  // control, the operator removes the workspace, the caller sends. Cause: the entry relied on a
-  // copy that nobody had confirmed for longer than the limit.
+  // Guards against serving a workspace that was removed: the entry is disconnected from control,
+  // the operator removes the workspace, and the entry uses a catalogue copy that has not been
+  // confirmed within the limit.
   EntryFixture entry;
   entry.SetControlSilent(true);
   SECTION("before the first confirmation")
@@ -187,7 +187,7 @@
   }
   entry.SetControlSilent(false);
   entry.Boot();
-  entry.PeerUpFrom("agent-1", 3);
+  entry.ConnectPeer("agent-1", 3);
   entry.Routes({ { 11, "agent-1" } });
   entry.SetControlSilent(true);
   SECTION("within the limit of 5 s, counted from when the query was sent")
@@ -197,7 +197,7 @@
     entry.Chat();
     EXPECT_EQ(entry.Sent<wire::StartT>().size(), 1U);
   }
-  SECTION("after it")
+  SECTION("after the limit")
   {
     entry.Advance(std::chrono::milliseconds(200));
     const CallerView& caller = entry.Caller(entry.Chat());
@@ -205,7 +205,7 @@
     EXPECT_THAT(caller.body, HasSubstr("configuration-unconfirmed"));
     EXPECT_EQ(entry.Sent<wire::StartT>().size(), 1U);
   }
-  SECTION("what became of a request is told all the same")
+  SECTION("records can still be looked up")
   {
     EXPECT_THAT(entry.Record(entry.Sent<wire::StartT>().at(0).request),
                 HasSubstr(R"("outcome":"running")"));
--- a/tests/unit/entry_recovery_test.cpp
+++ b/tests/unit/entry_recovery_test.cpp
@@ -11,12 +11,12 @@
 
 constexpr const char* kFirst = "entry-1.7.1";
 
-/// Two groups, whose heads' agents are connected.
+/// Connects the heads' agents of two groups.
 void Prepare(EntryFixture& entry)
 {
   entry.Boot();
-  entry.PeerUpFrom("agent-1", 3);
-  entry.PeerUpFrom("agent-2", 4);
+  entry.ConnectPeer("agent-1", 3);
+  entry.ConnectPeer("agent-2", 4);
   entry.Routes({ { 11, "agent-1" }, { 12, "agent-2" } });
 }
 
@@ -50,24 +50,24 @@
   return unknown;
 }
 
-TEST(EntryRecovery, FramesLateTwiceAndOutOfOrderMakeTheSameAnswer)
+TEST(EntryRecovery, DuplicatedAndReorderedFramesGiveTheSameAnswer)
 {
-  // Symptom: a caller's answer has a part twice or lacks one. Events: after a change of connection
-  // the agent sends again from an older offset while frames of the former one still arrive. Cause:
-  // frames taken in order of arrival in place of their offsets.
+  // Guards against an answer with repeated or missing parts: after a reconnect the agent resends
+  // from an older offset while frames of the former connection still arrive, and frames are used in
+  // order of arrival instead of by their offsets.
   EntryFixture entry;
   Prepare(entry);
   const std::uint64_t chat = entry.Chat(true);
   const std::string agent = entry.LastReceiver<wire::StartT>();
   entry.Frame(agent, StreamHead("data: 1\n\n"));
-  SECTION("a frame ahead of its turn isn't used; the missing part is asked for")
+  SECTION("a frame after a gap is discarded, and the missing part requested")
   {
     entry.Frame(agent, MakeOutput(kFirst, 1, 18, "data: 3\n\n", 0, true));
     EXPECT_EQ(entry.Caller(chat).body, "data: 1\n\n");
     ASSERT_EQ(entry.Sent<wire::ResumeT>().size(), 1U);
     EXPECT_EQ(entry.Sent<wire::ResumeT>()[0].offset, 9U);
   }
-  SECTION("known bytes are left out")
+  SECTION("bytes received before are skipped")
   {
     entry.Frame(agent, StreamHead("data: 1\n\n"));
     entry.Frame(agent, MakeOutput(kFirst, 1, 4, ": 1\n\ndata: 2\n\n"));
@@ -80,7 +80,7 @@
     entry.Frame(agent, MakeOutput("entry-1.7.99", 1, 0, "data: z\n\n", 200));
     EXPECT_EQ(entry.Caller(chat).body, "data: 1\n\ndata: 2\n\n");
   }
-  SECTION("the end")
+  SECTION("the end completes the answer")
   {
     entry.Frame(agent, MakeOutput(kFirst, 1, 18, "data: 3\n\n", 0, true));
     EXPECT_EQ(entry.Caller(chat).body, "data: 1\n\ndata: 2\n\ndata: 3\n\n");
@@ -88,21 +88,21 @@
   }
 }
 
-TEST(EntryRecovery, ASilentConnectionIsResumedAtItsOffset)
+TEST(EntryRecovery, ALostConnectionIsResumedAtItsOffset)
 {
-  // Symptom: a streamed answer stops for good, or starts anew. Events: something between entry and
-  // agent forgets their connection; a new one works. Cause: the stream was tied to a connection.
+  // Guards against a streamed answer that stops for good or starts again because the stream is tied
+  // to a connection: the connection between entry and agent is lost, and a new one is opened.
   EntryFixture entry;
   Prepare(entry);
   const std::uint64_t chat = entry.Chat(true);
   const std::string agent = entry.LastReceiver<wire::StartT>();
   entry.Frame(agent, StreamHead("data: 1\n\n"));
-  entry.PeerDownFrom(agent, IncarnationOf(agent));
+  entry.DisconnectPeer(agent, IncarnationOf(agent));
   entry.Clear();
   entry.Advance(std::chrono::seconds(2));
-  EXPECT_FALSE(entry.Sent<wire::PingT>(agent).empty()) << "the agent is dialled again";
-  EXPECT_TRUE(entry.Sent<wire::StartT>().empty()) << "and the request is sent nowhere else";
-  entry.PeerUpFrom(agent, IncarnationOf(agent));
+  EXPECT_FALSE(entry.Sent<wire::PingT>(agent).empty()) << "the agent is redialled";
+  EXPECT_TRUE(entry.Sent<wire::StartT>().empty()) << "the request is not sent to another group";
+  entry.ConnectPeer(agent, IncarnationOf(agent));
   ASSERT_EQ(entry.Sent<wire::ResumeT>().size(), 1U);
   EXPECT_EQ(entry.Sent<wire::ResumeT>()[0].offset, 9U);
   entry.Frame(agent, MakeOutput(kFirst, 1, 9, "data: 2\n\n", 0, true));
@@ -110,23 +110,23 @@
   EXPECT_TRUE(entry.Caller(chat).ended);
 }
 
-TEST(EntryRecovery, AnAgentIsNotAskedWithoutNeed)
+TEST(EntryRecovery, AnAgentIsNotProbedEarly)
 {
-  // Symptom: each request costs a second frame. Events: a request waits for its first byte. Cause:
-  // the time of the next question was left at zero, so that the first sweep asked.
+  // Guards against a second frame for each request: with the time of the next probe left at zero,
+  // the first sweep probes a request that waits for its first byte.
   EntryFixture entry;
   Prepare(entry);
   entry.Chat(true);
   entry.Advance(std::chrono::milliseconds(4900));
   EXPECT_TRUE(entry.Sent<wire::ResumeT>().empty());
-  SECTION("only after five silent seconds, in case a frame was lost unnoticed")
+  SECTION("it is probed after five seconds without frames, in case one was lost")
   {
     entry.Advance(std::chrono::milliseconds(200));
     EXPECT_EQ(entry.Sent<wire::ResumeT>().size(), 1U);
   }
 }
 
-TEST(EntryRecovery, RefusedBeforeStartGoesElsewhereWithinBounds)
+TEST(EntryRecovery, RefusedBeforeItsStartItIsRetriedAtAnotherGroup)
 {
   EntryFixture entry;
   Prepare(entry);
@@ -138,13 +138,13 @@
   refused.reason = "member missing: vm-7";
   refused.retryAfterMillis = 3000;
   entry.Frame(first, refused);
-  SECTION("to the other group, as the second attempt")
+  SECTION("the second attempt is sent to the other group")
   {
     ASSERT_EQ(entry.Sent<wire::StartT>().size(), 2U);
     EXPECT_EQ(entry.Sent<wire::StartT>()[1].attempt, 2U);
     EXPECT_NE(entry.LastReceiver<wire::StartT>(), first);
   }
-  SECTION("refused by all: not run, the agent's reason and when to try again")
+  SECTION("refused by all: not run, with the agent's reason and Retry-After")
   {
     refused.attempt = 2;
     entry.Frame(entry.LastReceiver<wire::StartT>(), refused);
@@ -153,7 +153,7 @@
     EXPECT_THAT(entry.Caller(chat).body, HasSubstr("member missing: vm-7"));
     EXPECT_EQ(entry.Caller(chat).Header("Retry-After"), "3");
   }
-  SECTION("the record tells both attempts")
+  SECTION("the record lists both attempts")
   {
     const std::string record = entry.Record(kFirst);
     EXPECT_THAT(record, HasSubstr("vm-agent-1"));
@@ -161,26 +161,26 @@
   }
 }
 
-TEST(EntryRecovery, NotRunIsSaidOnlyAfterASeal)
+TEST(EntryRecovery, NotRunIsAnsweredOnlyAfterASeal)
 {
-  // Symptom: "not run" is told and the booking is made all the same. Events: the connection dies
-  // while the Start is on its way; the agent, asked to resume, does not know the request; the
-  // Start arrives after that over the old connection. Cause: "unknown" was taken for "never".
+  // Guards against a booking that is made after the caller was answered "not run": the connection
+  // is lost while the Start is in transit, the agent answers a Resume with "unknown request", which
+  // the entry treats as "never starts", and then the Start arrives over the old connection.
   EntryFixture entry;
   Prepare(entry);
   const std::uint64_t chat = entry.Chat();
   const std::string agent = entry.LastReceiver<wire::StartT>();
   const std::uint64_t incarnation = IncarnationOf(agent);
-  entry.PeerDownFrom(agent, incarnation);
-  entry.PeerUpFrom(agent, incarnation);
+  entry.DisconnectPeer(agent, incarnation);
+  entry.ConnectPeer(agent, incarnation);
   entry.Frame(agent, Unknown(incarnation));
-  SECTION("unknown isn't enough: the agent is asked to seal it")
+  SECTION("an unknown request has to be sealed first")
   {
     EXPECT_FALSE(entry.Caller(chat).status.has_value());
     EXPECT_EQ(entry.Sent<wire::StartT>().size(), 1U);
     EXPECT_EQ(entry.Sent<wire::SealT>().size(), 1U);
   }
-  SECTION("sealed: it may go to the other group")
+  SECTION("a sealed one is sent to the other group")
   {
     entry.Frame(agent, Sealed(wire::SealResult::Sealed));
     ASSERT_EQ(entry.Sent<wire::StartT>().size(), 2U);
@@ -190,9 +190,9 @@
 
 TEST(EntryRecovery, ARestartedAgentMeansCut)
 {
-  // Symptom: a caller is told "not run" for a booking that exists. Events: the agent hands the
-  // call to its service and dies; the next agent knows nothing of it. Cause: the entry believed an
-  // agent about the time before its own life.
+  // Guards against "not run" for a booking that was made: the agent passes the call to its service
+  // and crashes, and the entry relies on the answer of the next incarnation, which has no record of
+  // it.
   for (const bool byReply : { false, true }) {
     EntryFixture entry;
     Prepare(entry);
@@ -201,8 +201,8 @@
     if (byReply) {
       entry.Frame(agent, Unknown(77));
     } else {
-      entry.PeerDownFrom(agent, IncarnationOf(agent));
-      entry.PeerUpFrom(agent, 77);
+      entry.DisconnectPeer(agent, IncarnationOf(agent));
+      entry.ConnectPeer(agent, 77);
     }
     EXPECT_EQ(entry.Caller(chat).status, 502U);
     EXPECT_THAT(entry.Caller(chat).body, HasSubstr(R"("outcome":"cut")"));
@@ -211,26 +211,26 @@
   }
 }
 
-TEST(EntryRecovery, AnUnreachableAgentIsGivenUpAtOnceAndResolvedLater)
+TEST(EntryRecovery, AnUnreachableAgentGivesCutAndIsResolvedLater)
 {
   EntryFixture entry;
   Prepare(entry);
   const std::uint64_t chat = entry.Chat();
   const std::string agent = entry.LastReceiver<wire::StartT>();
-  entry.PeerDownFrom(agent, IncarnationOf(agent));
+  entry.DisconnectPeer(agent, IncarnationOf(agent));
   entry.Advance(std::chrono::milliseconds(4900));
   EXPECT_FALSE(entry.Caller(chat).status.has_value());
   entry.Advance(std::chrono::milliseconds(200));
-  SECTION("the caller hears cut, as it may have run")
+  SECTION("the caller is answered with cut, as the request may have run")
   {
     EXPECT_EQ(entry.Caller(chat).status, 502U);
     EXPECT_THAT(entry.Caller(chat).body, HasSubstr("agent-unreachable"));
     EXPECT_THAT(entry.Caller(chat).body, HasSubstr(R"("outcome":"cut")"));
     EXPECT_EQ(entry.Caller(chat).Header("Retry-After"), "1");
   }
-  SECTION("the agent is back and seals it: the record says so, nothing is sent again")
+  SECTION("the agent reconnects and seals it: the record becomes not-run, nothing is resent")
   {
-    entry.PeerUpFrom(agent, IncarnationOf(agent));
+    entry.ConnectPeer(agent, IncarnationOf(agent));
     ASSERT_EQ(entry.Sent<wire::SealT>().size(), 1U);
     entry.Frame(agent, Sealed(wire::SealResult::Sealed));
     EXPECT_THAT(entry.Record(kFirst), HasSubstr(R"("outcome":"not-run")"));
@@ -238,10 +238,10 @@
   }
 }
 
-TEST(EntryRecovery, ACutAnswerNeverLooksWhole)
+TEST(EntryRecovery, ACutAnswerIsNeverEndedAsComplete)
 {
-  // Symptom: half a hire agreement is taken for the whole. Events: the engine dies in the middle
-  // of an answer. Cause: the answer was ended like a whole one.
+  // Guards against an incomplete answer that is used as a complete one: the engine fails in the
+  // middle of an answer, and the answer is ended like a complete one.
   wire::OutputT cut = MakeOutput(kFirst, 1, 9, "", 0, true);
   cut.cutReason = "target failed";
   SECTION("a stream gets a last error event, then its connection is aborted")
@@ -257,7 +257,7 @@
     EXPECT_TRUE(entry.Caller(chat).aborted);
     EXPECT_FALSE(entry.Caller(chat).ended);
   }
-  SECTION("an answer without stated length is aborted")
+  SECTION("an answer without Content-Length is aborted")
   {
     EntryFixture entry;
     Prepare(entry);
@@ -268,7 +268,7 @@
     EXPECT_TRUE(entry.Caller(chat).aborted);
     EXPECT_FALSE(entry.Caller(chat).ended);
   }
-  SECTION("a short answer was held back, so that the caller gets a clear error")
+  SECTION("a short answer is buffered and replaced by an error")
   {
     EntryFixture entry;
     Prepare(entry);
@@ -284,9 +284,9 @@
   }
 }
 
-TEST(EntryRecovery, DeadlinePassedAndCallerGoneCancelAndNeverRunTwice)
+TEST(EntryRecovery, ADeadlineOrADisconnectCancelsWithoutASecondRun)
 {
-  SECTION("the deadline passes: final answer at once, the agent is told to stop")
+  SECTION("the deadline passes: final answer at once, and the attempt is cancelled")
   {
     EntryFixture entry;
     Prepare(entry);
@@ -307,7 +307,7 @@
       EXPECT_THAT(entry.Record(kFirst), HasSubstr(R"("outcome":"not-run")"));
     }
   }
-  SECTION("the caller of a repeatable call leaves")
+  SECTION("the caller of a repeatable call disconnects")
   {
     EntryFixture entry;
     Prepare(entry);
@@ -315,11 +315,11 @@
     EXPECT_EQ(entry.Sent<wire::CancelT>().size(), 1U);
     EXPECT_THAT(entry.Record(kFirst), HasSubstr("caller-gone"));
   }
-  SECTION("the caller of a booking leaves: kept from starting, but not cut once begun")
+  SECTION("the caller of a booking disconnects: it is sealed, but not cancelled once started")
   {
     EntryFixture entry;
     entry.Boot();
-    entry.PeerUpFrom("agent-9", 3);
+    entry.ConnectPeer("agent-9", 3);
     entry.Routes({ { 12, "agent-9" } }, "booking-portal");
     entry.Tick({ HttpCallerGone{ ExchangeId(entry.Book()) } });
     EXPECT_TRUE(entry.Sent<wire::CancelT>().empty());
@@ -332,17 +332,17 @@
   }
 }
 
-TEST(EntryRecovery, AShutdownFinishesWhatIsInFlight)
+TEST(EntryRecovery, AShutdownWaitsForRequestsInFlight)
 {
-  // Symptom: a restart of an entry cuts answers. Events: SIGTERM while streams run. Cause: the
-  // process left before its last stream's end.
+  // Guards against answers that are cut by a restart: the process gets SIGTERM while streams are in
+  // progress, and exits before the last one has ended.
   EntryFixture entry;
   Prepare(entry);
   const std::uint64_t chat = entry.Chat(true);
   const std::string agent = entry.LastReceiver<wire::StartT>();
   entry.Frame(agent, StreamHead("data: 1\n\n"));
   entry.Tick({ StopRequested{} });
-  SECTION("not ready, new work refused")
+  SECTION("the entry isn't ready and refuses new requests")
   {
     EXPECT_EQ(entry.Caller(entry.Call("GET", "/readyz")).status, 503U);
     const std::uint64_t late = entry.Chat();
@@ -350,7 +350,7 @@
     EXPECT_THAT(entry.Caller(late).body, HasSubstr("shutting-down"));
     EXPECT_EQ(entry.Caller(late).Header("Retry-After"), "1");
   }
-  SECTION("the stream goes on to its end")
+  SECTION("the stream continues to its end")
   {
     entry.Advance(std::chrono::seconds(30));
     EXPECT_FALSE(entry.Stopped());
@@ -358,7 +358,7 @@
     EXPECT_TRUE(entry.Caller(chat).ended);
     EXPECT_TRUE(entry.Stopped());
   }
-  SECTION("a request whose caller has left holds nothing up")
+  SECTION("a request whose caller has disconnected doesn't delay it")
   {
     EntryFixture other;
     Prepare(other);
--- a/tests/unit/idle_cost_test.cpp
+++ b/tests/unit/idle_cost_test.cpp
@@ -20,15 +20,15 @@
   return std::chrono::seconds(time.tv_sec) + std::chrono::nanoseconds(time.tv_nsec);
 }
 
-// Symptom: every VM's small process burns a core while nothing happens.
-// Cause: a scheduler that polls, or a fiber that yields in a loop.
+// Guards against an idle process that uses a whole core, because its scheduler polls or a fiber
+// yields in a loop.
 TEST(IdleCost, AnIdleProcessWithConnectionsUsesLessThanOnePercentOfACore)
 {
   constexpr Duration kWatched = std::chrono::seconds(2);
   constexpr double kAllowedShare = 0.01;
   constexpr int kPeers = 5;
 
-  // Outlive the runtime, which waits for the fiber that uses them.
+  // Declared before the runtime, whose destructor waits for the fiber that uses them.
   bool stopping = false;
   Signal tick;
   IoRuntime runtime;
