--- a/tests/unit/admission_limits_test.cpp
+++ b/tests/unit/admission_limits_test.cpp
@@ -14,49 +14,49 @@
 
 TEST(AdmissionLimits, BoundTheRate)
 {
-  AdmissionFixture world;
-  world.admission.SetLimits(AdmissionFixture::Registre(), Limits(2));
-  EXPECT_TRUE(world.Decide().Admitted());
-  EXPECT_TRUE(world.Decide().Admitted());
+  AdmissionFixture fixture;
+  fixture.admission.SetLimits(AdmissionFixture::Registre(), Limits(2));
+  EXPECT_TRUE(fixture.Decide().Admitted());
+  EXPECT_TRUE(fixture.Decide().Admitted());
 
-  const AdmissionDecision refused = world.Decide();
+  const AdmissionDecision refused = fixture.Decide();
   EXPECT_EQ(refused.reason, RefusalReason::kWorkspaceRate);
   EXPECT_GE(refused.retryAfter, milliseconds(500));
 
   SECTION("after Retry-After the request is admitted")
   {
-    world.now += refused.retryAfter;
-    EXPECT_TRUE(world.Decide().Admitted());
+    fixture.now += refused.retryAfter;
+    EXPECT_TRUE(fixture.Decide().Admitted());
   }
 }
 
 TEST(AdmissionLimits, BoundConcurrency)
 {
-  AdmissionFixture world;
-  world.admission.SetLimits(AdmissionFixture::Registre(), Limits(0, 0, 1));
-  EXPECT_TRUE(world.Decide().Admitted());
-  EXPECT_EQ(world.Decide().reason, RefusalReason::kWorkspaceConcurrency);
-  world.Finish();
-  EXPECT_TRUE(world.Decide().Admitted());
+  AdmissionFixture fixture;
+  fixture.admission.SetLimits(AdmissionFixture::Registre(), Limits(0, 0, 1));
+  EXPECT_TRUE(fixture.Decide().Admitted());
+  EXPECT_EQ(fixture.Decide().reason, RefusalReason::kWorkspaceConcurrency);
+  fixture.Finish();
+  EXPECT_TRUE(fixture.Decide().Admitted());
 }
 
 TEST(AdmissionLimits, ChargeTokensByWhatWasUsed)
 {
-  AdmissionFixture world;
-  world.admission.SetLimits(AdmissionFixture::Registre(), Limits(0, 1000));
-  EXPECT_TRUE(world.Decide().Admitted());
+  AdmissionFixture fixture;
+  fixture.admission.SetLimits(AdmissionFixture::Registre(), Limits(0, 1000));
+  EXPECT_TRUE(fixture.Decide().Admitted());
   SECTION("an answer above the tokens of one second delays the next admission")
   {
-    world.Finish(AdmissionFixture::Registre(), seconds(1), 3000);
-    EXPECT_EQ(world.Decide().reason, RefusalReason::kWorkspaceRate);
-    world.now += milliseconds(1900);
-    EXPECT_FALSE(world.Decide().Admitted());
-    world.now += milliseconds(1200);
-    EXPECT_TRUE(world.Decide().Admitted());
+    fixture.Finish(AdmissionFixture::Registre(), seconds(1), 3000);
+    EXPECT_EQ(fixture.Decide().reason, RefusalReason::kWorkspaceRate);
+    fixture.now += milliseconds(1900);
+    EXPECT_FALSE(fixture.Decide().Admitted());
+    fixture.now += milliseconds(1200);
+    EXPECT_TRUE(fixture.Decide().Admitted());
   }
   SECTION("running requests are charged the mean cost before their end")
   {
-    EXPECT_FALSE(world.Decide().Admitted());
+    EXPECT_FALSE(fixture.Decide().Admitted());
   }
 }
 
--- a/tests/unit/admission_overload_test.cpp
+++ b/tests/unit/admission_overload_test.cpp
@@ -21,16 +21,16 @@
 protected:
   void SetUp() override
   {
-    world.RecordServiceTime(seconds(2));
-    world.admission.SetCapacity(AdmissionFixture::Model(), kSlots);
+    fixture.RecordServiceTime(seconds(2));
+    fixture.admission.SetCapacity(AdmissionFixture::Model(), kSlots);
   }
 
   void Occupy(double inFlight)
   {
-    world.admission.SetOccupancy(AdmissionFixture::Model(), inFlight);
+    fixture.admission.SetOccupancy(AdmissionFixture::Model(), inFlight);
   }
 
-  AdmissionFixture world;
+  AdmissionFixture fixture;
 };
 
 // Guards against callers that wait for half a minute and get no answer, while engines work on
@@ -39,10 +39,10 @@
 TEST_F(AdmissionOverload, RefusesEarlyWithTheExpectedWait)
 {
   Occupy(kSlots * 0.5);
-  EXPECT_TRUE(world.Decide().Admitted());
+  EXPECT_TRUE(fixture.Decide().Admitted());
 
   Occupy(kSlots * 2);
-  const AdmissionDecision refused = world.Decide();
+  const AdmissionDecision refused = fixture.Decide();
   EXPECT_EQ(refused.reason, RefusalReason::kOverload);
   // 100 requests must end first; with 200 in flight, 100 end per second.
   EXPECT_GE(refused.retryAfter, milliseconds(700));
@@ -51,15 +51,15 @@
   SECTION("a longer queue gives a longer Retry-After")
   {
     Occupy(kSlots * 8);
-    EXPECT_GT(world.Decide().retryAfter, refused.retryAfter);
+    EXPECT_GT(fixture.Decide().retryAfter, refused.retryAfter);
   }
   SECTION("a request whose deadline allows no wait is admitted only to a free slot")
   {
-    world.deadline = seconds(1);
+    fixture.deadline = seconds(1);
     Occupy(kSlots);
-    EXPECT_FALSE(world.Decide().Admitted());
+    EXPECT_FALSE(fixture.Decide().Admitted());
     Occupy(kSlots * 0.5);
-    EXPECT_TRUE(world.Decide().Admitted());
+    EXPECT_TRUE(fixture.Decide().Admitted());
   }
 }
 
@@ -68,7 +68,7 @@
 TEST_F(AdmissionOverload, LowerPriorityClassesAreRefusedFirst)
 {
   const auto admitted = [&](PriorityClass priorityClass) {
-    return world.Decide(AdmissionFixture::Registre(), priorityClass).Admitted();
+    return fixture.Decide(AdmissionFixture::Registre(), priorityClass).Admitted();
   };
   SECTION("nearly full: batch work is refused")
   {
@@ -92,12 +92,12 @@
   const WorkspaceId small("small");
   Occupy(0);
   for (std::uint32_t i = 0; i < kSlots - 1; ++i) {
-    ASSERT_TRUE(world.Decide(large).Admitted());
+    ASSERT_TRUE(fixture.Decide(large).Admitted());
   }
-  ASSERT_TRUE(world.Decide(small).Admitted());
+  ASSERT_TRUE(fixture.Decide(small).Admitted());
   Occupy(kSlots * 1.07);
-  EXPECT_FALSE(world.Decide(large).Admitted());
-  EXPECT_TRUE(world.Decide(small).Admitted());
+  EXPECT_FALSE(fixture.Decide(large).Admitted());
+  EXPECT_TRUE(fixture.Decide(small).Admitted());
 }
 
 // Guards against synchronised retries: with a constant Retry-After, callers refused at one moment
@@ -108,7 +108,7 @@
   std::vector<Duration> returns;
   returns.reserve(200);
   for (int i = 0; i < 200; ++i) {
-    returns.push_back(world.Decide().retryAfter);
+    returns.push_back(fixture.Decide().retryAfter);
   }
   std::map<std::int64_t, int> perSecond;
   for (const Duration after : returns) {
@@ -140,15 +140,15 @@
 TEST_F(AdmissionOverload, ARequestThatDidNotRunAddsNoServiceTime)
 {
   Occupy(kSlots * 2);
-  const Duration before = world.Decide().retryAfter;
+  const Duration before = fixture.Decide().retryAfter;
   Occupy(0);
   for (int i = 0; i < 50; ++i) {
-    ASSERT_TRUE(world.Decide().Admitted());
-    world.Finish(AdmissionFixture::Registre(), Duration{}, 0);
+    ASSERT_TRUE(fixture.Decide().Admitted());
+    fixture.Finish(AdmissionFixture::Registre(), Duration{}, 0);
   }
   Occupy(kSlots * 2);
-  world.now += seconds(60);
-  EXPECT_GE(world.Decide().retryAfter, before / 2);
+  fixture.now += seconds(60);
+  EXPECT_GE(fixture.Decide().retryAfter, before / 2);
 }
 
 } // namespace
--- a/tests/unit/entry_lookup_test.cpp
+++ b/tests/unit/entry_lookup_test.cpp
@@ -8,7 +8,7 @@
 
 using ::testing::HasSubstr;
 
-constexpr const char* kElsewhere = "entry-2.5.8";
+constexpr const char* kRequestOfOtherEntry = "entry-2.5.8";
 
 wire::RequestAnswerT FoundAnswer(std::uint64_t nonce, const std::string& request)
 {
@@ -28,32 +28,32 @@
   entry.Boot();
   SECTION("through control while it isn't connected")
   {
-    entry.Call("GET", std::string("/requests/") + kElsewhere);
+    entry.Call("GET", std::string("/requests/") + kRequestOfOtherEntry);
     EXPECT_EQ(entry.LastReceiver<wire::RequestQueryT>(), "control-1");
   }
   SECTION("directly when connected, for the caller's workspace only")
   {
     entry.ConnectPeer("entry-2", 5, "entry");
     entry.Clear();
-    const std::uint64_t asked = entry.Call("GET", std::string("/requests/") + kElsewhere);
+    const std::uint64_t asked = entry.Call("GET", std::string("/requests/") + kRequestOfOtherEntry);
     ASSERT_EQ(entry.Sent<wire::RequestQueryT>("entry-2").size(), 1U);
     const wire::RequestQueryT query = entry.Sent<wire::RequestQueryT>("entry-2")[0];
     EXPECT_EQ(query.workspace, "hire-desk");
-    entry.Frame("entry-2", FoundAnswer(query.nonce, kElsewhere));
+    entry.Frame("entry-2", FoundAnswer(query.nonce, kRequestOfOtherEntry));
     EXPECT_EQ(entry.Caller(asked).status, 200U);
     EXPECT_THAT(entry.Caller(asked).body, HasSubstr(R"("outcome":"cut")"));
   }
   SECTION("an answer about another request gives 404")
   {
     entry.Clear();
-    const std::uint64_t asked = entry.Call("GET", std::string("/requests/") + kElsewhere);
+    const std::uint64_t asked = entry.Call("GET", std::string("/requests/") + kRequestOfOtherEntry);
     const wire::RequestQueryT query = entry.Sent<wire::RequestQueryT>().at(0);
     entry.Frame("entry-2", FoundAnswer(query.nonce, "entry-2.5.9"));
     EXPECT_EQ(entry.Caller(asked).status, 404U);
   }
   SECTION("no answer gives 503 with Retry-After")
   {
-    const std::uint64_t asked = entry.Call("GET", std::string("/requests/") + kElsewhere);
+    const std::uint64_t asked = entry.Call("GET", std::string("/requests/") + kRequestOfOtherEntry);
     entry.Advance(std::chrono::milliseconds(2100));
     EXPECT_EQ(entry.Caller(asked).status, 503U);
     EXPECT_THAT(entry.Caller(asked).body, HasSubstr("entry-2"));
