--- a/include/gooseberrysail/entry/claim_flow.hpp
+++ b/include/gooseberrysail/entry/claim_flow.hpp
@@ -10,8 +10,8 @@
 /// before the claim is granted.
 void RequestClaim(EntryContext& context, Request& request);
 
-/// \brief Starts the request when its claim is granted; otherwise answers with the state of the
-/// request that holds the key.
+/// \brief Starts the request when its claim is granted; otherwise answers with the state or
+/// the answer of the request that holds the key.
 void OnClaimReply(EntryContext& context, const wire::ClaimReplyT& reply);
 
 } // namespace gooseberrysail::impl
--- a/include/gooseberrysail/entry/request_end.hpp
+++ b/include/gooseberrysail/entry/request_end.hpp
@@ -24,7 +24,7 @@
 void AnswerCutAndResolve(EntryContext& context, Request& request, std::string_view why);
 
 /// \brief Ends a request that never ran because another request holds its idempotency key; the
-/// caller was answered with the state of that one.
+/// caller was answered with the state or the answer of that one.
 void EndAsDuplicate(EntryContext& context, Request& request, std::string_view why);
 
 /// \brief Records the end of the current attempt and reports its result to the router.
