--- a/bench/agent_capacity.cpp
+++ b/bench/agent_capacity.cpp
@@ -162,10 +162,10 @@
     for (std::size_t index = 0; index < requests; ++index) {
       agent.Start(RequestName(index));
       agent.AnswerCall(RequestName(index), std::string(kHeldEach, 'x'), false);
-      agent.Forget();
+      agent.ClearSent();
     }
     agent.Advance(std::chrono::milliseconds(50));
-    agent.Forget();
+    agent.ClearSent();
     const double grown = static_cast<double>(mallinfo2().uordblks) - static_cast<double>(before);
     std::printf("%8zu %14.0f\n", requests, grown);
     memory.push_back({ static_cast<double>(requests), grown });
@@ -194,7 +194,7 @@
         agent.AnswerCall(name, std::string(100, 'x'), part == parts, part == 1);
       }
       agent.Acknowledge(name, parts * 100, true);
-      agent.Forget();
+      agent.ClearSent();
     }
     const double each = meter.cpuMicros / kRequests;
     std::printf("%8zu %16.2f\n", parts, each);
--- a/include/gooseberrysail/control/target_verifier.hpp
+++ b/include/gooseberrysail/control/target_verifier.hpp
@@ -23,7 +23,7 @@
   /// \brief An identity that is over, since another one answered at its address.
   struct Replacement
   {
-    TargetLife former;
+    TargetIncarnation former;
     InstanceId present;
   };
 
@@ -53,10 +53,10 @@
     const std::function<bool(const TargetRow&)>& isDoubtful);
 
   /// \brief The target itself, and no other at its address, answered a question of `askedAt`.
-  void OnIdentified(TimePoint askedAt, const TargetLife& life);
+  void OnIdentified(TimePoint askedAt, const TargetIncarnation& life);
 
   /// \brief A report came from the target's address, asked for at `askedAt`.
-  void OnReport(TimePoint askedAt, const TargetLife& life, const TargetReport& report);
+  void OnReport(TimePoint askedAt, const TargetIncarnation& life, const TargetReport& report);
 
   /// \brief The target's own last answer names the same group as its last word.
   [[nodiscard]] bool Confirms(const TargetRow& row) const;
@@ -67,7 +67,7 @@
                                  TimePoint since) const;
 
   /// \brief Another target answered at its address: that life is over.
-  void OnReplaced(const TargetLife& life) { m_replaced.insert(life); }
+  void OnReplaced(const TargetIncarnation& life) { m_replaced.insert(life); }
 
   /// \brief Certainly over: another identity was there after the last word of this one.
   [[nodiscard]] bool IsReplaced(const TargetRow& row) const
@@ -112,7 +112,7 @@
 
   Question m_identities;
   Question m_reports;
-  std::set<TargetLife> m_replaced;
+  std::set<TargetIncarnation> m_replaced;
   std::set<InstanceId> m_contested;
 };
 
--- a/include/gooseberrysail/gateway/dispatcher.hpp
+++ b/include/gooseberrysail/gateway/dispatcher.hpp
@@ -95,10 +95,10 @@
     Duration knowledgeAge{};
     TimePoint arrived{};
     TimePoint deadline{};
-    TimePoint sentAt{};  ///< The latest attempt.
-    TimePoint firstAt{}; ///< The first event went to the caller.
-    ExchangeId attempt;  ///< Under way; none between attempts.
-    TargetLife target;   ///< Of the latest attempt.
+    TimePoint sentAt{};       ///< The latest attempt.
+    TimePoint firstAt{};      ///< The first event went to the caller.
+    ExchangeId attempt;       ///< Under way; none between attempts.
+    TargetIncarnation target; ///< Of the latest attempt.
     std::set<InstanceId> tried;
     std::uint32_t attempts = 0;
     bool mayHaveRun = false; ///< Some attempt was not certainly refused.
@@ -138,7 +138,7 @@
                       std::vector<GatewayOutput>& outbox);
   /// \brief Those of the requests at the target that may run elsewhere are sent there.
   void MoveRequests(TimePoint now,
-                    const std::function<bool(const TargetLife&)>& isLost,
+                    const std::function<bool(const TargetIncarnation&)>& isLost,
                     const char* trouble,
                     Outbox& outbox);
   void StopAttempt(Request& request, Outbox& outbox, bool cancel);
--- a/include/gooseberrysail/gateway/target_board.hpp
+++ b/include/gooseberrysail/gateway/target_board.hpp
@@ -91,31 +91,31 @@
 
   // Of a former life of a target these change nothing.
 
-  void OnSent(TimePoint now, const TargetLife& life);
-  void OnBytes(TimePoint now, const TargetLife& life);
-  void OnEnded(const TargetLife& life);
+  void OnSent(TimePoint now, const TargetIncarnation& life);
+  void OnBytes(TimePoint now, const TargetIncarnation& life);
+  void OnEnded(const TargetIncarnation& life);
 
   /// \brief A plain service's whole answer came `took` after it was asked for.
-  void OnAnswerTime(TimePoint now, const TargetLife& life, Duration took);
+  void OnAnswerTime(TimePoint now, const TargetIncarnation& life, Duration took);
 
   /// \brief The target refused or failed: for a moment it gets only what no other has room for,
   /// longer each time in a row.
-  void OnTrouble(TimePoint now, const TargetLife& life);
+  void OnTrouble(TimePoint now, const TargetIncarnation& life);
 
   /// \brief The target did not answer at all: as OnTrouble, and control is told.
-  void OnSilence(TimePoint now, const TargetLife& life);
+  void OnSilence(TimePoint now, const TargetIncarnation& life);
 
   /// \brief Nobody could be reached there: as OnSilence, and it gets nothing for a moment.
-  void OnOutOfReach(TimePoint now, const TargetLife& life);
+  void OnOutOfReach(TimePoint now, const TargetIncarnation& life);
 
   /// \brief When a target last gave no answer.
   [[nodiscard]] TimePoint LatestSilence() const noexcept { return m_latestSilence; }
 
   /// \brief A whole answer came.
-  void OnSuccess(const TargetLife& life);
+  void OnSuccess(const TargetIncarnation& life);
 
   /// \brief Heads with work in flight of which no byte came for kStall.
-  [[nodiscard]] std::vector<TargetLife> StalledHeads(TimePoint now) const;
+  [[nodiscard]] std::vector<TargetIncarnation> StalledHeads(TimePoint now) const;
 
   [[nodiscard]] const std::map<InstanceId, Row>& Rows() const noexcept { return m_rows; }
 
@@ -136,7 +136,7 @@
   /// \brief Drops rows that are listed no more and have no work in flight.
   void DropGone();
   /// \brief Null for a target that is not listed, and for a former life of one that is.
-  [[nodiscard]] Row* FindRow(const TargetLife& life);
+  [[nodiscard]] Row* FindRow(const TargetIncarnation& life);
   [[nodiscard]] static bool IsSilent(TimePoint now, const Row& row, Duration limit);
   [[nodiscard]] static bool Fits(const Row& row, const TargetWish& wish);
   /// \brief How the heads of a wish stand to this entry.
--- a/include/gooseberrysail/serving/target_table.hpp
+++ b/include/gooseberrysail/serving/target_table.hpp
@@ -17,12 +17,12 @@
 using InstanceId = impl::StrongId<struct InstanceTag, std::string>;
 
 /// \brief One life of a target.
-struct TargetLife
+struct TargetIncarnation
 {
   InstanceId instance;
   Incarnation born;
 
-  friend auto operator<=>(const TargetLife&, const TargetLife&) = default;
+  friend auto operator<=>(const TargetIncarnation&, const TargetIncarnation&) = default;
 };
 
 /// \brief A target's own account of the group it is in.
@@ -72,8 +72,8 @@
   /// \brief The model of the last group in which it was ready: the target still has those weights
   /// and joins another group of that model within a moment. "" for none.
   std::string lastModel;
-  TimePoint firstHeardAt{}; ///< Of this life.
-  TimePoint heardAt{};
+  TimePoint firstSeenAt{}; ///< Of this life.
+  TimePoint lastSeenAt{};
 };
 
 /// \brief Targets that announced themselves to any control process, by instance.
@@ -89,22 +89,22 @@
   };
 
   /// \brief Takes in a heartbeat, wherever it was received.
-  Change Hear(TimePoint now, TargetAnnouncement announcement);
+  Change Update(TimePoint now, TargetAnnouncement announcement);
 
   /// \brief A target took its leave; later heartbeats of the same life are void.
   /// \param born Which life, or none where that is not known: a farewell that was passed on by
   /// another process may arrive after the first word of the next life.
-  Change Leave(TimePoint now, const InstanceId& instance, Incarnation born = {});
+  Change MarkLeft(TimePoint now, const InstanceId& instance, Incarnation born = {});
 
   /// \brief Drops rows of targets that left, or were silent for long.
-  void Forget(TimePoint now);
+  void RemoveExpired(TimePoint now);
 
   [[nodiscard]] const std::map<InstanceId, TargetRow>& Rows() const noexcept { return m_rows; }
   [[nodiscard]] const TargetRow* Find(const InstanceId& instance) const;
 
   /// \brief How long rows of targets that left or fell silent are kept, so that a late heartbeat of
   /// theirs is recognised.
-  static constexpr Duration kKeepGone = std::chrono::seconds(60);
+  static constexpr Duration kDepartedRetention = std::chrono::seconds(60);
 
 private:
   std::map<InstanceId, TargetRow> m_rows;
--- a/include/gooseberrysail/wire/envelope.hpp
+++ b/include/gooseberrysail/wire/envelope.hpp
@@ -37,7 +37,7 @@
 
 /// \brief Whether a message must not wait behind those of other kinds: the replicated log's, by
 /// which followers know that their leader lives.
-[[nodiscard]] bool GoesFirst(const wire::EnvelopeT& envelope) noexcept;
+[[nodiscard]] bool IsHighPriority(const wire::EnvelopeT& envelope) noexcept;
 
 /// \brief The name of the message kind, for logs and golden sessions.
 [[nodiscard]] const char* BodyName(const wire::EnvelopeT& envelope) noexcept;
--- a/src/control/engine_groups.cpp
+++ b/src/control/engine_groups.cpp
@@ -316,7 +316,7 @@
   }
   // A head that is cut off from control only still answers the entries; its group goes on.
   const bool isSilent =
-    isFailing ? IsSilent(pass, *head) : pass.input.now - head->heardAt > m_settings.Silence();
+    isFailing ? IsSilent(pass, *head) : pass.input.now - head->lastSeenAt > m_settings.Silence();
   const bool answers = pass.input.answering.contains(instance);
   if (isSilent && (isFailing || !answers)) {
     EndLost(pass, group, "its head is silent");
@@ -329,8 +329,8 @@
 {
   const auto unanswered = m_unanswered.find(row.latest.instance);
   const bool gaveNoAnswer =
-    unanswered != m_unanswered.end() && unanswered->second > row.heardAt + kProbeSilence;
-  return gaveNoAnswer || pass.input.now - row.heardAt > m_settings.SuspectSilence();
+    unanswered != m_unanswered.end() && unanswered->second > row.lastSeenAt + kProbeSilence;
+  return gaveNoAnswer || pass.input.now - row.lastSeenAt > m_settings.SuspectSilence();
 }
 
 // A head that stands still waits for a member. Heartbeats would tell which one only after 1.8 s;
@@ -339,7 +339,7 @@
 {
   for (const InstanceId& member : group.members) {
     const TargetRow* row = pass.Row(member);
-    if (row != nullptr && pass.input.now - row->heardAt > kProbeSilence) {
+    if (row != nullptr && pass.input.now - row->lastSeenAt > kProbeSilence) {
       Order(pass, group, member, GroupOrderKind::kProbe);
     }
   }
--- a/src/control/engine_groups_ending.cpp
+++ b/src/control/engine_groups_ending.cpp
@@ -55,7 +55,7 @@
   // a network fault can hide a target from all of them. Without its members it stands still, and is
   // broken in the end.
   for (const auto& [instance, member] : pass.input.targets.Rows()) {
-    const bool isHeard = pass.input.now - member.heardAt <= m_settings.Silence();
+    const bool isHeard = pass.input.now - member.lastSeenAt <= m_settings.Silence();
     const bool isMember = instance != head && Reports(&member, group.name, group.epoch);
     if (isHeard && isMember && !IsWantedBySuccessor(group, instance)) {
       Order(pass, group, instance, GroupOrderKind::kLeave);
@@ -147,7 +147,7 @@
   // it took the order to close, ready means closed.
   const bool isClosed = group.closeBegun && !MayOpenLate(pass.input.now, group) &&
                         membership.state == MemberState::Ready;
-  if (head->heardAt <= group.since || head->latest.left) {
+  if (head->lastSeenAt <= group.since || head->latest.left) {
     return nullptr;
   }
   if (membership.state == MemberState::Broken) {
--- a/src/control/engine_groups_learning.cpp
+++ b/src/control/engine_groups_learning.cpp
@@ -56,7 +56,7 @@
     return false;
   }
   const bool isOpenHead = membership.rank == 0 && IsOpenState(membership.state);
-  const bool isNews = row.heardAt > released->second.at && !m_verifier.IsReplaced(row);
+  const bool isNews = row.lastSeenAt > released->second.at && !m_verifier.IsReplaced(row);
   return !isNews || (released->second.isCertain && !isOpenHead);
 }
 
@@ -168,7 +168,7 @@
 // tell whose they are.
 void EngineGroups::NoteIdentity(const GroupOrder& order, OrderOutcome outcome)
 {
-  const TargetLife life{ order.target, order.born };
+  const TargetIncarnation life{ order.target, order.born };
   if (outcome == OrderOutcome::kReplaced) {
     m_verifier.OnReplaced(life);
     return;
--- a/src/control/engine_groups_planning.cpp
+++ b/src/control/engine_groups_planning.cpp
@@ -316,7 +316,7 @@
   // A target that is gone stays in the table for a while, beside the one that took its place.
   const auto targets = std::ranges::count_if(pass.input.targets.Rows(), [&](const auto& row) {
     const TargetRow& target = row.second;
-    const bool isHeard = pass.input.now - target.heardAt <= m_settings.Silence();
+    const bool isHeard = pass.input.now - target.lastSeenAt <= m_settings.Silence();
     return target.latest.service == service.name && isHeard && !IsLeaving(&target) &&
            !m_verifier.IsReplaced(target);
   });
@@ -428,7 +428,7 @@
     const Staging& staging = entry.second;
     const TargetRow* row = pass.Row(entry.first);
     if (row == nullptr || row->latest.left ||
-        pass.input.now - row->heardAt > m_settings.Silence()) {
+        pass.input.now - row->lastSeenAt > m_settings.Silence()) {
       return true;
     }
     const bool isDone =
--- a/src/control/serving_control.cpp
+++ b/src/control/serving_control.cpp
@@ -93,7 +93,7 @@
     Take(context, exchange, MalformedCall{ instance.Get(), "no document names its service" });
     return;
   }
-  const TargetTable::Change change = m_targets.Hear(context.now, call.announcement);
+  const TargetTable::Change change = m_targets.Update(context.now, call.announcement);
   const bool isNews = change == TargetTable::Change::kState;
   if (change != TargetTable::Change::kNone) {
     m_relay.Note(context, instance, isNews);
@@ -123,7 +123,7 @@
     Respond(context, exchange, { OutsideStatus::kUnavailable, {}, "no leader is known", {} });
     return;
   }
-  if (m_targets.Leave(context.now, call.instance) == TargetTable::Change::kState) {
+  if (m_targets.MarkLeft(context.now, call.instance) == TargetTable::Change::kState) {
     NoteChange(context, call.instance);
   }
   m_relay.Note(context, call.instance, true);
@@ -188,8 +188,9 @@
 void ServingControl::OnHeard(ControlContext& context, const wire::TargetHeardT& heard)
 {
   const TargetTable::Change change =
-    heard.left ? m_targets.Leave(context.now, InstanceId(heard.instance), Incarnation(heard.born))
-               : m_targets.Hear(context.now, FromWire(heard));
+    heard.left
+      ? m_targets.MarkLeft(context.now, InstanceId(heard.instance), Incarnation(heard.born))
+      : m_targets.Update(context.now, FromWire(heard));
   if (change == TargetTable::Change::kState) {
     m_nextKeep = context.now;
   }
@@ -256,7 +257,7 @@
   }
   if (context.now >= m_nextForget) {
     m_nextForget = context.now + kForgetInterval;
-    m_targets.Forget(context.now);
+    m_targets.RemoveExpired(context.now);
   }
   if (std::optional<EventOut> report = m_refused.TakeReport(context.now)) {
     context.outbox.emplace_back(std::move(*report));
@@ -419,7 +420,7 @@
   std::vector<ServedTarget> targets;
   for (const auto& [instance, row] : m_targets.Rows()) {
     const TargetAnnouncement& latest = row.latest;
-    if (latest.address.empty() || context.now - row.heardAt > TargetTable::kKeepGone ||
+    if (latest.address.empty() || context.now - row.lastSeenAt > TargetTable::kDepartedRetention ||
         !TakesRequests(latest)) {
       continue;
     }
--- a/src/control/target_relay.cpp
+++ b/src/control/target_relay.cpp
@@ -39,7 +39,7 @@
   waiting.due = context.now;
   for (const auto& [instance, row] : targets.Rows()) {
     // Others would take the word of one that fell silent for a sign of life.
-    if (row.latest.left || context.now - row.heardAt <= kHeardLately) {
+    if (row.latest.left || context.now - row.lastSeenAt <= kHeardLately) {
       waiting.targets.insert(instance);
     }
   }
--- a/src/control/target_verifier.cpp
+++ b/src/control/target_verifier.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-TargetLife LifeOf(const TargetRow& row)
+TargetIncarnation LifeOf(const TargetRow& row)
 {
   return { row.latest.instance, row.latest.born };
 }
@@ -27,8 +27,9 @@
 {
   m_identities.Forget(targets);
   m_reports.Forget(targets);
-  std::erase_if(m_replaced,
-                [&](const TargetLife& life) { return targets.Find(life.instance) == nullptr; });
+  std::erase_if(m_replaced, [&](const TargetIncarnation& life) {
+    return targets.Find(life.instance) == nullptr;
+  });
 }
 
 std::vector<TargetVerifier::Replacement> TargetVerifier::Update(const TargetTable& targets)
@@ -67,7 +68,7 @@
 {
   const auto present = std::ranges::find_if(rows, [&](const TargetRow* other) {
     const Answer* answer = m_identities.FindAnswer(*other);
-    return other != &row && answer != nullptr && answer->askedAt > row.heardAt;
+    return other != &row && answer != nullptr && answer->askedAt > row.lastSeenAt;
   });
   return present == rows.end() ? nullptr : *present;
 }
@@ -107,12 +108,14 @@
   return due;
 }
 
-void TargetVerifier::OnIdentified(TimePoint askedAt, const TargetLife& life)
+void TargetVerifier::OnIdentified(TimePoint askedAt, const TargetIncarnation& life)
 {
   m_identities.answers[life.instance] = { life.born, askedAt, {} };
 }
 
-void TargetVerifier::OnReport(TimePoint askedAt, const TargetLife& life, const TargetReport& report)
+void TargetVerifier::OnReport(TimePoint askedAt,
+                              const TargetIncarnation& life,
+                              const TargetReport& report)
 {
   m_reports.answers[life.instance] = { life.born, askedAt, report.membership };
 }
@@ -149,7 +152,7 @@
   }
   const Answer* answer = FindAnswer(row);
   const bool isReachable = answer != nullptr && answer->askedAt >= asked->second;
-  return now - asked->second >= kAskAgain && (isReachable || row.heardAt > asked->second);
+  return now - asked->second >= kAskAgain && (isReachable || row.lastSeenAt > asked->second);
 }
 
 void TargetVerifier::Question::Forget(const TargetTable& targets)
--- a/src/gateway/dispatcher.cpp
+++ b/src/gateway/dispatcher.cpp
@@ -298,9 +298,9 @@
   for (const ExchangeId exchange : m_line.TakeExpired(now)) {
     GiveUp(now, *Find(exchange), outbox);
   }
-  for (const TargetLife& head : m_board.StalledHeads(now)) {
+  for (const TargetIncarnation& head : m_board.StalledHeads(now)) {
     m_board.OnSilence(now, head);
-    const auto isStalled = [&](const TargetLife& target) { return target == head; };
+    const auto isStalled = [&](const TargetIncarnation& target) { return target == head; };
     MoveRequests(now, isStalled, "its head stands still", outbox);
   }
   UseRoom(now, outbox);
@@ -332,7 +332,7 @@
                                 std::span<const InstanceId> restarted,
                                 Outbox& outbox)
 {
-  const auto isOver = [&](const TargetLife& target) {
+  const auto isOver = [&](const TargetIncarnation& target) {
     return std::ranges::find(restarted, target.instance) != restarted.end();
   };
   MoveRequests(now, isOver, "its target started again", outbox);
@@ -341,7 +341,7 @@
 
 // What may not run elsewhere stays: an answer that was made before may still arrive.
 void Dispatcher::MoveRequests(TimePoint now,
-                              const std::function<bool(const TargetLife&)>& isLost,
+                              const std::function<bool(const TargetIncarnation&)>& isLost,
                               const char* trouble,
                               Outbox& outbox)
 {
--- a/src/gateway/target_board.cpp
+++ b/src/gateway/target_board.cpp
@@ -136,7 +136,7 @@
     std::ranges::count_if(m_rows, [](const auto& row) { return !row.second.gone; }));
 }
 
-TargetBoard::Row* TargetBoard::FindRow(const TargetLife& life)
+TargetBoard::Row* TargetBoard::FindRow(const TargetIncarnation& life)
 {
   const auto found = m_rows.find(life.instance);
   const bool isPresent = found != m_rows.end() && found->second.target.born == life.born;
@@ -319,7 +319,7 @@
   return std::ranges::any_of(m_rows, [&](const auto& row) { return Fits(row.second, wish); });
 }
 
-void TargetBoard::OnSent(TimePoint now, const TargetLife& life)
+void TargetBoard::OnSent(TimePoint now, const TargetIncarnation& life)
 {
   Row* row = FindRow(life);
   if (row != nullptr && row->inFlight++ == 0) {
@@ -328,7 +328,7 @@
   }
 }
 
-void TargetBoard::OnBytes(TimePoint now, const TargetLife& life)
+void TargetBoard::OnBytes(TimePoint now, const TargetIncarnation& life)
 {
   if (Row* row = FindRow(life)) {
     row->answeredAt = now;
@@ -338,14 +338,14 @@
   }
 }
 
-void TargetBoard::OnAnswerTime(TimePoint now, const TargetLife& life, Duration took)
+void TargetBoard::OnAnswerTime(TimePoint now, const TargetIncarnation& life, Duration took)
 {
   if (Row* row = FindRow(life)) {
     row->pace.OnAnswer(now, took);
   }
 }
 
-void TargetBoard::OnEnded(const TargetLife& life)
+void TargetBoard::OnEnded(const TargetIncarnation& life)
 {
   Row* row = FindRow(life);
   if (row == nullptr || row->inFlight == 0) {
@@ -356,7 +356,7 @@
   }
 }
 
-void TargetBoard::OnTrouble(TimePoint now, const TargetLife& life)
+void TargetBoard::OnTrouble(TimePoint now, const TargetIncarnation& life)
 {
   if (Row* row = FindRow(life)) {
     if (IsAvoided(now, *row)) {
@@ -368,7 +368,7 @@
   }
 }
 
-void TargetBoard::OnOutOfReach(TimePoint now, const TargetLife& life)
+void TargetBoard::OnOutOfReach(TimePoint now, const TargetIncarnation& life)
 {
   OnSilence(now, life);
   if (Row* row = FindRow(life)) {
@@ -376,7 +376,7 @@
   }
 }
 
-void TargetBoard::OnSilence(TimePoint now, const TargetLife& life)
+void TargetBoard::OnSilence(TimePoint now, const TargetIncarnation& life)
 {
   if (Row* row = FindRow(life)) {
     row->silentAt = now;
@@ -385,16 +385,16 @@
   OnTrouble(now, life);
 }
 
-void TargetBoard::OnSuccess(const TargetLife& life)
+void TargetBoard::OnSuccess(const TargetIncarnation& life)
 {
   if (Row* row = FindRow(life)) {
     row->failures = 0;
   }
 }
 
-std::vector<TargetLife> TargetBoard::StalledHeads(TimePoint now) const
+std::vector<TargetIncarnation> TargetBoard::StalledHeads(TimePoint now) const
 {
-  std::vector<TargetLife> stalled;
+  std::vector<TargetIncarnation> stalled;
   for (const auto& [instance, row] : m_rows) {
     if (IsSilent(now, row, kStall)) {
       stalled.push_back({ instance, row.target.born });
--- a/src/net/peer_mesh.cpp
+++ b/src/net/peer_mesh.cpp
@@ -160,7 +160,9 @@
   if (closed) {
     return;
   }
-  const impl::QueuedFrame frame{ Encode(out), out.envelope->body.type, GoesFirst(*out.envelope) };
+  const impl::QueuedFrame frame{ Encode(out),
+                                 out.envelope->body.type,
+                                 IsHighPriority(*out.envelope) };
   const std::size_t size = frame.bytes->size();
   if (size - impl::kFramePrefixBytes > kMaxFrameBytes) {
     // The peer would close the connection on it, and again on each retry.
--- a/src/serving/target_table.cpp
+++ b/src/serving/target_table.cpp
@@ -39,7 +39,7 @@
 
 } // namespace
 
-TargetTable::Change TargetTable::Hear(TimePoint now, TargetAnnouncement announcement)
+TargetTable::Change TargetTable::Update(TimePoint now, TargetAnnouncement announcement)
 {
   const auto [found, fresh] = m_rows.try_emplace(announcement.instance);
   TargetRow& row = found->second;
@@ -59,16 +59,18 @@
     row.lastModel.clear();
   }
   if (fresh || isReborn) {
-    row.firstHeardAt = now;
+    row.firstSeenAt = now;
   }
   const bool isSame = !fresh && Significant(row.latest) == Significant(announcement);
   row.latest = std::move(announcement);
-  row.heardAt = now;
+  row.lastSeenAt = now;
   NoteLastModel(row);
   return isSame ? Change::kRefresh : Change::kState;
 }
 
-TargetTable::Change TargetTable::Leave(TimePoint now, const InstanceId& instance, Incarnation born)
+TargetTable::Change TargetTable::MarkLeft(TimePoint now,
+                                          const InstanceId& instance,
+                                          Incarnation born)
 {
   TargetRow& row = m_rows[instance];
   if (!born.IsNone() && born < row.latest.born) {
@@ -80,13 +82,14 @@
     return Change::kRefresh;
   }
   row.latest.left = true;
-  row.heardAt = now;
+  row.lastSeenAt = now;
   return Change::kState;
 }
 
-void TargetTable::Forget(TimePoint now)
+void TargetTable::RemoveExpired(TimePoint now)
 {
-  std::erase_if(m_rows, [now](const auto& row) { return now - row.second.heardAt > kKeepGone; });
+  std::erase_if(
+    m_rows, [now](const auto& row) { return now - row.second.lastSeenAt > kDepartedRetention; });
 }
 
 const TargetRow* TargetTable::Find(const InstanceId& instance) const
--- a/src/wire/envelope.cpp
+++ b/src/wire/envelope.cpp
@@ -28,7 +28,7 @@
   return std::shared_ptr<const wire::EnvelopeT>(std::move(envelope));
 }
 
-bool GoesFirst(const wire::EnvelopeT& envelope) noexcept
+bool IsHighPriority(const wire::EnvelopeT& envelope) noexcept
 {
   return envelope.body.type == wire::Body::RaftMessage;
 }
--- a/tests/fakes/fake_fleet.cpp
+++ b/tests/fakes/fake_fleet.cpp
@@ -107,7 +107,7 @@
   target.reportsAt = now + kHeartbeat;
   ++target.self.sequence;
   if (target.reachesControl) {
-    m_table.Hear(now, target.self);
+    m_table.Update(now, target.self);
   }
 }
 
--- a/tests/support/agent_harness.cpp
+++ b/tests/support/agent_harness.cpp
@@ -61,7 +61,7 @@
     RoleHooks{ [this] { return ++m_random; }, [] { return WallMillis{ 0 }; } });
 }
 
-void AgentHarness::Give(AgentInput input)
+void AgentHarness::Deliver(AgentInput input)
 {
   m_inbox.push_back(std::move(input));
   Tick();
@@ -250,9 +250,9 @@
 
 void AgentHarness::FailOpenOrder()
 {
-  Give(TargetFailedIn{ *m_openOrder,
-                       Error{ ErrorCode::kTimeout, "call target", "target", "connection lost" },
-                       false });
+  Deliver(TargetFailedIn{ *m_openOrder,
+                          Error{ ErrorCode::kTimeout, "call target", "target", "connection lost" },
+                          false });
   m_openOrder.reset();
 }
 
@@ -395,14 +395,14 @@
   if (first) {
     answer.status = kOk;
   }
-  Give(std::move(answer));
+  Deliver(std::move(answer));
 }
 
 void AgentHarness::FailCall(const std::string& request, bool neverSent)
 {
-  Give(TargetFailedIn{ CallOf(request)->exchange,
-                       Error{ ErrorCode::kIo, "call target", "target", "connection reset" },
-                       neverSent });
+  Deliver(TargetFailedIn{ CallOf(request)->exchange,
+                          Error{ ErrorCode::kIo, "call target", "target", "connection reset" },
+                          neverSent });
 }
 
 AgentHarness::Received AgentHarness::ReceivedOf(const std::string& request) const
@@ -447,7 +447,7 @@
   Start(request);
   const TargetCall* call = CallOf(request);
   if (call == nullptr) {
-    m_whyNot = RefusalOf(request);
+    m_lastRefusal = RefusalOf(request);
     return false;
   }
   AnswerCall(request, "ok", true);
--- a/tests/support/agent_harness.hpp
+++ b/tests/support/agent_harness.hpp
@@ -58,7 +58,7 @@
   void Advance(Duration duration);
   /// \brief The process is frozen; what its peers sent meanwhile is waiting for it.
   void Pause(Duration duration);
-  void Give(AgentInput input);
+  void Deliver(AgentInput input);
   /// \brief A moment passes, answers are taken in.
   void Settle() { Advance(std::chrono::milliseconds(50)); }
 
@@ -88,7 +88,7 @@
   template<class MessageT>
   void Frame(const std::string& peer, MessageT message, std::uint64_t incarnation = 1)
   {
-    Give(FrameIn{ ProcessId(peer), Incarnation(incarnation), MakeEnvelope(std::move(message)) });
+    Deliver(FrameIn{ ProcessId(peer), Incarnation(incarnation), MakeEnvelope(std::move(message)) });
   }
 
   // The target's side of requests.
@@ -139,7 +139,7 @@
     const auto all = Sent<MessageT>(peer);
     return all.empty() ? nullptr : all.back();
   }
-  void Forget() { m_sent.clear(); }
+  void ClearSent() { m_sent.clear(); }
   /// \brief What an entry that takes frames by offset has of an answer.
   struct Received
   {
@@ -154,7 +154,7 @@
   [[nodiscard]] bool Stopped() const noexcept { return m_stopped; }
   /// \brief Whether the gate lets a new request through; uses a request id of its own.
   [[nodiscard]] bool Serves();
-  [[nodiscard]] std::string WhyNot() const { return m_whyNot; }
+  [[nodiscard]] std::string LastRefusal() const { return m_lastRefusal; }
   [[nodiscard]] TimePoint Now() const noexcept { return m_now; }
   /// \brief Called with every output, for session files.
   std::function<void(TimePoint, const AgentOutput&)> onOutput;
@@ -187,7 +187,7 @@
   std::vector<std::uint32_t> m_events;
   std::uint64_t m_epoch = 0;
   std::uint64_t m_probeRequests = 1000000;
-  std::string m_whyNot;
+  std::string m_lastRefusal;
   bool m_stopped = false;
 };
 
--- a/tests/support/request_world.cpp
+++ b/tests/support/request_world.cpp
@@ -115,7 +115,7 @@
 {
   entry.inbox.push_back(PeerUp{
     ProcessId(kAgent), "agent", Incarnation(m_agentIncarnation), std::string(kAgentAddress) });
-  m_agent->Give(PeerUp{ ProcessId(name), "entry", Incarnation(entry.incarnation), "" });
+  m_agent->Deliver(PeerUp{ ProcessId(name), "entry", Incarnation(entry.incarnation), "" });
 }
 
 void RequestWorld::Reconnect(const std::string& name)
@@ -124,7 +124,7 @@
   entry.swallow = false;
   entry.inbox.push_back(
     PeerDown{ ProcessId(kAgent), Incarnation(m_agentIncarnation), "no heartbeat" });
-  m_agent->Give(PeerDown{ ProcessId(name), Incarnation(entry.incarnation), "no heartbeat" });
+  m_agent->Deliver(PeerDown{ ProcessId(name), Incarnation(entry.incarnation), "no heartbeat" });
   ConnectAgent(name, entry);
   Settle();
 }
@@ -155,7 +155,7 @@
   std::vector<FrameIn> held;
   held.swap(m_held);
   for (FrameIn& frame : held) {
-    m_agent->Give(std::move(frame));
+    m_agent->Deliver(std::move(frame));
   }
 }
 
@@ -223,7 +223,7 @@
     if (holdStarts && frame->envelope->body.type == wire::Body::Start) {
       m_held.push_back(std::move(arrival));
     } else if (frame->envelope->body.type != wire::Body::Ping) {
-      m_agent->Give(std::move(arrival));
+      m_agent->Deliver(std::move(arrival));
     }
   }
 }
--- a/tests/unit/agent_gate_test.cpp
+++ b/tests/unit/agent_gate_test.cpp
@@ -15,7 +15,7 @@
   {
     agent.Advance(seconds(1));
     EXPECT_FALSE(agent.Serves());
-    EXPECT_EQ(agent.WhyNot(), "target is in no group or in another one");
+    EXPECT_EQ(agent.LastRefusal(), "target is in no group or in another one");
   }
   SECTION("it announces itself")
   {
@@ -31,7 +31,7 @@
     ASSERT_NE(reply, nullptr);
     EXPECT_TRUE(reply->accepted);
     EXPECT_EQ(agent.engineModel, "hire-assist");
-    EXPECT_TRUE(agent.Serves()) << agent.WhyNot();
+    EXPECT_TRUE(agent.Serves()) << agent.LastRefusal();
     const auto* report = agent.Last<wire::GroupReportT>();
     ASSERT_NE(report, nullptr);
     EXPECT_TRUE(report->ready);
@@ -49,11 +49,11 @@
   agent.silentMembers = { "vm-3" };
   agent.Advance(agent.policy.memberTimeout);
   EXPECT_FALSE(agent.Serves());
-  EXPECT_EQ(agent.WhyNot(), "member missing: vm-3");
+  EXPECT_EQ(agent.LastRefusal(), "member missing: vm-3");
   EXPECT_EQ(agent.Last<wire::GroupReportT>()->missing, std::vector<std::string>{ "vm-3" });
   agent.silentMembers.clear();
   agent.Advance(milliseconds(500));
-  EXPECT_TRUE(agent.Serves()) << agent.WhyNot();
+  EXPECT_TRUE(agent.Serves()) << agent.LastRefusal();
 }
 
 // Symptom: after its VM was suspended for half a minute, a head serves the next request although
@@ -71,11 +71,11 @@
   // What the harness queued as answers is still unread: it waits through the pause.
   agent.Pause(seconds(30));
   EXPECT_FALSE(agent.Serves());
-  EXPECT_TRUE(agent.WhyNot().starts_with("member missing")) << agent.WhyNot();
+  EXPECT_TRUE(agent.LastRefusal().starts_with("member missing")) << agent.LastRefusal();
   SECTION("and it opens again only by new answers")
   {
     agent.Advance(seconds(1));
-    EXPECT_TRUE(agent.Serves()) << agent.WhyNot();
+    EXPECT_TRUE(agent.Serves()) << agent.LastRefusal();
   }
 }
 
@@ -91,7 +91,7 @@
   agent.controlGrantsLease = false;
   agent.Advance(seconds(4));
   EXPECT_FALSE(agent.Serves());
-  EXPECT_EQ(agent.WhyNot(), "group lease ended");
+  EXPECT_EQ(agent.LastRefusal(), "group lease ended");
 }
 
 // Symptom: a process cut off from control serves by limits that were changed long ago.
@@ -106,10 +106,10 @@
   agent.catalogueVersion = 2;
   agent.Advance(agent.policy.confirmationLimit + seconds(1));
   EXPECT_FALSE(agent.Serves());
-  EXPECT_EQ(agent.WhyNot(), "configuration not confirmed");
+  EXPECT_EQ(agent.LastRefusal(), "configuration not confirmed");
   agent.controlAnswersConfig = true;
   agent.Advance(seconds(2));
-  EXPECT_TRUE(agent.Serves()) << agent.WhyNot();
+  EXPECT_TRUE(agent.Serves()) << agent.LastRefusal();
 }
 
 TEST(AgentGate, ServesUnconfirmedOnlyByTheOperatorsChoice)
@@ -120,7 +120,7 @@
   agent.controlAnswersConfig = false;
   agent.catalogueVersion = 2;
   agent.Advance(seconds(30));
-  EXPECT_TRUE(agent.Serves()) << agent.WhyNot();
+  EXPECT_TRUE(agent.Serves()) << agent.LastRefusal();
 }
 
 // Symptom: a VM follows an order of a control process that lost its leadership long ago.
@@ -143,7 +143,7 @@
   {
     agent.Assign(9);
     EXPECT_TRUE(agent.Last<wire::AssignReplyT>()->accepted);
-    EXPECT_TRUE(agent.Serves()) << agent.WhyNot();
+    EXPECT_TRUE(agent.Serves()) << agent.LastRefusal();
   }
   SECTION("an Assign that its Release overtook is refused")
   {
@@ -273,7 +273,7 @@
   agent.targetAlive = false;
   agent.Advance(agent.policy.memberTimeout + milliseconds(400));
   EXPECT_FALSE(agent.Serves());
-  EXPECT_EQ(agent.WhyNot(), "member missing: vm-1");
+  EXPECT_EQ(agent.LastRefusal(), "member missing: vm-1");
 }
 
 TEST(AgentGate, OnlyAConfiguredControlMayAssign)
--- a/tests/unit/agent_leaving_test.cpp
+++ b/tests/unit/agent_leaving_test.cpp
@@ -17,7 +17,7 @@
   agent.FormGroup(7);
   agent.Start("entry-1.1.1");
   agent.AnswerCall("entry-1.1.1", "first ", false);
-  agent.Give(StopRequested{});
+  agent.Deliver(StopRequested{});
   SECTION("control and the entries are told in the same tick")
   {
     ASSERT_NE(agent.Last<wire::AnnounceT>("control-1"), nullptr);
@@ -55,7 +55,7 @@
   agent.FormGroup(7);
   agent.Start("entry-1.1.1");
   agent.Start("entry-1.1.2");
-  agent.Give(StopRequested{});
+  agent.Deliver(StopRequested{});
   agent.Settle();
   EXPECT_EQ(agent.RefusalOf("entry-1.1.2"), "leaving");
 }
@@ -70,7 +70,7 @@
   agent.leavingMembers = { "vm-2" };
   agent.Advance(milliseconds(400));
   EXPECT_FALSE(agent.Serves());
-  EXPECT_EQ(agent.WhyNot(), "leaving: vm-2");
+  EXPECT_EQ(agent.LastRefusal(), "leaving: vm-2");
 }
 
 TEST(AgentLeaving, ACatalogueDrainOfAnyMemberClosesTheGateWithinSeconds)
@@ -82,7 +82,7 @@
   agent.catalogueVersion = 2;
   agent.Advance(seconds(3));
   EXPECT_FALSE(agent.Serves());
-  EXPECT_EQ(agent.WhyNot(), "draining: vm-3");
+  EXPECT_EQ(agent.LastRefusal(), "draining: vm-3");
   EXPECT_TRUE(agent.Last<wire::LoadReportT>("entry-1")->leaving);
 }
 
@@ -124,7 +124,7 @@
   agent.Start("entry-1.1.2");
   agent.Release(7, 2000);
   EXPECT_FALSE(agent.Serves());
-  EXPECT_EQ(agent.WhyNot(), "group is being dissolved");
+  EXPECT_EQ(agent.LastRefusal(), "group is being dissolved");
   agent.Advance(seconds(1));
   agent.AnswerCall("entry-1.1.1", "in time", true);
   EXPECT_EQ(agent.ReceivedOf("entry-1.1.1").cutReason, "");
@@ -140,7 +140,7 @@
   }
   SECTION("a Release sent again is answered again")
   {
-    agent.Forget();
+    agent.ClearSent();
     agent.Release(7, 2000);
     EXPECT_NE(agent.Last<wire::ReleasedT>(), nullptr);
   }
@@ -154,7 +154,7 @@
   AgentHarness agent;
   agent.Advance(milliseconds(500));
   agent.Assign(7, "vm-2");
-  agent.Give(StopRequested{});
+  agent.Deliver(StopRequested{});
   wire::BeatRequestT beat;
   beat.group = 5;
   beat.epoch = 7;
@@ -174,7 +174,7 @@
 {
   AgentHarness agent;
   agent.FormGroup(7);
-  agent.Give(StopRequested{});
+  agent.Deliver(StopRequested{});
   agent.Advance(seconds(29));
   EXPECT_FALSE(agent.Stopped());
   agent.Advance(seconds(2));
--- a/tests/unit/agent_orders_test.cpp
+++ b/tests/unit/agent_orders_test.cpp
@@ -32,7 +32,7 @@
   {
     agent.FormGroup(8);
     EXPECT_EQ(agent.Orders().size(), 2U);
-    EXPECT_TRUE(agent.Serves()) << agent.WhyNot();
+    EXPECT_TRUE(agent.Serves()) << agent.LastRefusal();
   }
 }
 
@@ -68,7 +68,7 @@
     agent.FinishLoad();
     agent.Advance(seconds(3));
     EXPECT_EQ(agent.engineModel, "hire-assist");
-    EXPECT_TRUE(agent.Serves()) << agent.WhyNot();
+    EXPECT_TRUE(agent.Serves()) << agent.LastRefusal();
   }
 }
 
@@ -92,11 +92,11 @@
   agent.Assign(8);
   agent.Advance(milliseconds(300));
   EXPECT_FALSE(agent.Serves());
-  EXPECT_EQ(agent.WhyNot(), "weights not loaded: vm-1");
+  EXPECT_EQ(agent.LastRefusal(), "weights not loaded: vm-1");
   agent.targetAlive = true;
   agent.engineLoading = false;
   agent.Advance(seconds(1));
-  EXPECT_TRUE(agent.Serves()) << agent.WhyNot();
+  EXPECT_TRUE(agent.Serves()) << agent.LastRefusal();
 }
 
 TEST(AgentOrders, AnAgentThatRestartedWaitsForItsPredecessorsOrder)
@@ -109,7 +109,7 @@
   agent.engineLoading = false;
   agent.Advance(seconds(2));
   EXPECT_EQ(agent.Orders().size(), 1U);
-  EXPECT_TRUE(agent.Serves()) << agent.WhyNot();
+  EXPECT_TRUE(agent.Serves()) << agent.LastRefusal();
 }
 
 // Symptom: a group serves although an engine of it restarted and lost its weights.
@@ -124,18 +124,18 @@
   agent.engineAnswersOrders = false;
   agent.Advance(milliseconds(700));
   EXPECT_FALSE(agent.Serves());
-  EXPECT_EQ(agent.WhyNot(), "weights not loaded: vm-1");
+  EXPECT_EQ(agent.LastRefusal(), "weights not loaded: vm-1");
   agent.engineAnswersOrders = true;
   agent.FinishLoad();
   agent.Advance(seconds(1));
-  EXPECT_TRUE(agent.Serves()) << agent.WhyNot();
+  EXPECT_TRUE(agent.Serves()) << agent.LastRefusal();
 }
 
 TEST(AgentOrders, APlainServiceGetsNoOrders)
 {
   AgentHarness agent({ .kind = wire::TargetKind::Service });
   agent.FormGroup(7);
-  EXPECT_TRUE(agent.Serves()) << agent.WhyNot();
+  EXPECT_TRUE(agent.Serves()) << agent.LastRefusal();
   EXPECT_TRUE(agent.Orders().empty());
 }
 
--- a/tests/unit/agent_requests_test.cpp
+++ b/tests/unit/agent_requests_test.cpp
@@ -50,7 +50,7 @@
   EXPECT_EQ(SealOf(agent, "entry-1.1.2"), wire::SealResult::Started);
   SECTION("and a Resume ends the asking with a cut")
   {
-    agent.Forget();
+    agent.ClearSent();
     agent.Resume("entry-1.1.2", 0);
     EXPECT_TRUE(agent.Sent<wire::UnknownRequestT>().empty());
     EXPECT_NE(agent.ReceivedOf("entry-1.1.2").cutReason, "");
@@ -73,7 +73,7 @@
   agent.Start("entry-1.1.1");
   agent.Start("entry-1.1.1");
   EXPECT_EQ(agent.RunsOf("entry-1.1.1"), 1U);
-  agent.Give(PeerDown{ ProcessId("entry-1"), Incarnation(1), "silent" });
+  agent.Deliver(PeerDown{ ProcessId("entry-1"), Incarnation(1), "silent" });
   agent.AnswerCall("entry-1.1.1", "booked", true);
   EXPECT_FALSE(agent.ReceivedOf("entry-1.1.1").ended);
   agent.Start("entry-1.1.1");
@@ -166,11 +166,11 @@
   agent.Start("entry-1.1.1");
   agent.AnswerCall("entry-1.1.1", "alpha ", false);
   agent.Acknowledge("entry-1.1.1", 3, false);
-  agent.Give(PeerDown{ ProcessId("entry-1"), Incarnation(1), "silent" });
+  agent.Deliver(PeerDown{ ProcessId("entry-1"), Incarnation(1), "silent" });
   agent.AnswerCall("entry-1.1.1", "beta ", false, false);
   agent.AnswerCall("entry-1.1.1", "gamma", true, false);
   agent.Advance(seconds(5));
-  agent.Forget();
+  agent.ClearSent();
   agent.Resume("entry-1.1.1", 3);
   std::string rest;
   for (const auto* frame : agent.Sent<wire::OutputT>()) {
@@ -239,7 +239,7 @@
   booking.repeatable = false;
   agent.Start("entry-1.1.3", booking);
   agent.AnswerCall("entry-1.1.1", "done", true);
-  agent.Give(PeerDown{ ProcessId("entry-1"), Incarnation(1), "closed" });
+  agent.Deliver(PeerDown{ ProcessId("entry-1"), Incarnation(1), "closed" });
   agent.Advance(RequestSystem::kHoldFor + seconds(1));
   EXPECT_TRUE(agent.CallOf("entry-1.1.2")->cancelled);
   EXPECT_FALSE(agent.CallOf("entry-1.1.3")->cancelled) << "a begun booking runs to its end";
@@ -256,7 +256,7 @@
   booking.repeatable = false;
   agent.Start("entry-1.1.1");
   agent.Start("entry-1.1.2", booking);
-  agent.Give(PeerUp{ ProcessId("entry-1"), "entry", Incarnation(2), "10.0.2.1:7000" });
+  agent.Deliver(PeerUp{ ProcessId("entry-1"), "entry", Incarnation(2), "10.0.2.1:7000" });
   EXPECT_TRUE(agent.CallOf("entry-1.1.1")->cancelled);
   EXPECT_FALSE(agent.CallOf("entry-1.1.2")->cancelled);
 }
@@ -346,7 +346,7 @@
   AgentHarness agent;
   agent.FormGroup(7);
   agent.Start("entry-1.1.1");
-  agent.Give(PeerDown{ ProcessId("entry-1"), Incarnation(1), "silent" });
+  agent.Deliver(PeerDown{ ProcessId("entry-1"), Incarnation(1), "silent" });
   agent.AnswerCall("entry-1.1.1", "whole", true);
   agent.Assign(8);
   agent.Resume("entry-1.1.1", 0);
--- a/tests/unit/engine_groups_safety_test.cpp
+++ b/tests/unit/engine_groups_safety_test.cpp
@@ -204,7 +204,7 @@
     ASSERT_TRUE(fleet.Keeper().ServingHeads().contains(head));
 
     const std::size_t before = fleet.Orders().size();
-    fleet.Table().Hear(fleet.now, late);
+    fleet.Table().Update(fleet.now, late);
     for (int i = 0; i < 50; ++i) {
       fleet.Run(100ms);
       EXPECT_TRUE(fleet.Keeper().ServingHeads().contains(head)) << saysItIsFree << " " << i;
@@ -306,7 +306,7 @@
     TargetAnnouncement old = fleet.At(member.Get()).self;
     ++old.sequence;
     old.membership = {};
-    fleet.Table().Hear(fleet.now, old);
+    fleet.Table().Update(fleet.now, old);
     GroupOrder probe;
     probe.target = member;
     probe.kind = GroupOrderKind::kProbe;
@@ -332,8 +332,8 @@
   former.sequence = 1;
   TargetAnnouncement present = former;
   present.instance = InstanceId("present");
-  fleet.Table().Hear(fleet.now, former);
-  fleet.Table().Hear(fleet.now, present);
+  fleet.Table().Update(fleet.now, former);
+  fleet.Table().Update(fleet.now, present);
   const std::size_t before = fleet.Orders().size();
   fleet.Run(2s);
   EXPECT_EQ(fleet.Orders().size(), before);
--- a/tests/unit/engine_groups_test.cpp
+++ b/tests/unit/engine_groups_test.cpp
@@ -342,7 +342,7 @@
       TargetAnnouncement late = fleet.At(domain + std::to_string(number)).self;
       late.membership = {};
       late.sequence = 1;
-      fleet.Table().Hear(fleet.now + 1ms, late);
+      fleet.Table().Update(fleet.now + 1ms, late);
     }
   }
   fleet.Run(10s);
@@ -510,7 +510,7 @@
   fleet.Run(2s);
   TargetAnnouncement late = fleet.At(member).self;
   ++late.sequence;
-  fleet.Table().Hear(fleet.now, late);
+  fleet.Table().Update(fleet.now, late);
   // More is asked than all targets can serve: each that counts as usable is used.
   fleet.demand["small"] = { 300, 300 * 714.0, 300 * 146.0 };
   fleet.Run(25s);
@@ -585,7 +585,7 @@
       TargetAnnouncement old = fleet.At(head).self;
       ++old.sequence;
       old.membership = {};
-      fleet.Table().Hear(fleet.now, old);
+      fleet.Table().Update(fleet.now, old);
       fleet.Run(700ms);
     }
     fleet.Run(5s);
--- a/tests/unit/serving_document_test.cpp
+++ b/tests/unit/serving_document_test.cpp
@@ -143,34 +143,34 @@
   TargetAnnouncement former = HeartbeatOf(100, 40);
   former.loadedModel = "large";
   former.membership = { "g7", Epoch(12), 1, wire::MemberState::Open };
-  EXPECT_EQ(table.Hear(now, former), Change::kState);
+  EXPECT_EQ(table.Update(now, former), Change::kState);
   SECTION("its first word counts, and what the former life held does not")
   {
-    EXPECT_EQ(table.Hear(now + 1s, HeartbeatOf(200, 1)), Change::kState);
+    EXPECT_EQ(table.Update(now + 1s, HeartbeatOf(200, 1)), Change::kState);
     EXPECT_EQ(table.Find(instance)->latest.membership.group, "");
     EXPECT_EQ(table.Find(instance)->lastModel, "");
-    EXPECT_EQ(table.Find(instance)->firstHeardAt, now + 1s);
+    EXPECT_EQ(table.Find(instance)->firstSeenAt, now + 1s);
   }
   SECTION("a late word of the former life undoes nothing")
   {
-    table.Hear(now + 1s, HeartbeatOf(200, 1));
+    table.Update(now + 1s, HeartbeatOf(200, 1));
     ++former.sequence;
-    EXPECT_EQ(table.Hear(now + 2s, former), Change::kNone);
+    EXPECT_EQ(table.Update(now + 2s, former), Change::kNone);
     EXPECT_EQ(table.Find(instance)->latest.born, Incarnation(200));
   }
   SECTION("within a life a lower count is late as ever")
   {
-    table.Hear(now + 1s, HeartbeatOf(200, 5));
-    EXPECT_EQ(table.Hear(now + 2s, HeartbeatOf(200, 4)), Change::kNone);
+    table.Update(now + 1s, HeartbeatOf(200, 5));
+    EXPECT_EQ(table.Update(now + 2s, HeartbeatOf(200, 4)), Change::kNone);
   }
   SECTION("a farewell ends its own life only")
   {
-    table.Hear(now + 1s, HeartbeatOf(200, 1));
-    EXPECT_EQ(table.Leave(now + 2s, instance, Incarnation(100)), Change::kNone);
+    table.Update(now + 1s, HeartbeatOf(200, 1));
+    EXPECT_EQ(table.MarkLeft(now + 2s, instance, Incarnation(100)), Change::kNone);
     EXPECT_FALSE(table.Find(instance)->latest.left);
-    EXPECT_EQ(table.Leave(now + 2s, instance, Incarnation(200)), Change::kState);
-    EXPECT_EQ(table.Hear(now + 3s, HeartbeatOf(200, 2)), Change::kNone);
-    EXPECT_EQ(table.Hear(now + 3s, HeartbeatOf(300, 1)), Change::kState);
+    EXPECT_EQ(table.MarkLeft(now + 2s, instance, Incarnation(200)), Change::kState);
+    EXPECT_EQ(table.Update(now + 3s, HeartbeatOf(200, 2)), Change::kNone);
+    EXPECT_EQ(table.Update(now + 3s, HeartbeatOf(300, 1)), Change::kState);
     EXPECT_FALSE(table.Find(instance)->latest.left);
   }
   SECTION("the life is passed on with the word")
@@ -187,20 +187,20 @@
   using Change = TargetTable::Change;
   const TimePoint now{ 1h };
   TargetTable table;
-  EXPECT_EQ(table.Hear(now, Heartbeat(4, false)), Change::kState);
-  EXPECT_EQ(table.Hear(now, Heartbeat(5, false)), Change::kRefresh);
-  EXPECT_EQ(table.Hear(now, Heartbeat(7, true)), Change::kState);
-  EXPECT_EQ(table.Hear(now, Heartbeat(6, false)), Change::kNone);
+  EXPECT_EQ(table.Update(now, Heartbeat(4, false)), Change::kState);
+  EXPECT_EQ(table.Update(now, Heartbeat(5, false)), Change::kRefresh);
+  EXPECT_EQ(table.Update(now, Heartbeat(7, true)), Change::kState);
+  EXPECT_EQ(table.Update(now, Heartbeat(6, false)), Change::kNone);
   EXPECT_TRUE(table.Find(InstanceId("i-1"))->latest.draining);
   SECTION("and none brings back a target that left")
   {
-    EXPECT_EQ(table.Leave(now, InstanceId("i-1")), Change::kState);
-    EXPECT_EQ(table.Hear(now, Heartbeat(9, false)), Change::kNone);
+    EXPECT_EQ(table.MarkLeft(now, InstanceId("i-1")), Change::kState);
+    EXPECT_EQ(table.Update(now, Heartbeat(9, false)), Change::kNone);
     EXPECT_TRUE(table.Find(InstanceId("i-1"))->latest.left);
   }
   SECTION("until it is forgotten")
   {
-    table.Forget(now + TargetTable::kKeepGone + 1s);
+    table.RemoveExpired(now + TargetTable::kDepartedRetention + 1s);
     EXPECT_EQ(table.Find(InstanceId("i-1")), nullptr);
   }
 }
--- a/tests/unit/target_relay_test.cpp
+++ b/tests/unit/target_relay_test.cpp
@@ -31,13 +31,13 @@
     announcement.instance = InstanceId(name);
     announcement.address = name + ":8080";
     announcement.sequence = sequence;
-    const bool isNews = targets.Hear(now, announcement) == TargetTable::Change::kState;
+    const bool isNews = targets.Update(now, announcement) == TargetTable::Change::kState;
     relay.Note(Context(), announcement.instance, isNews);
   }
 
   void Leave(const std::string& name)
   {
-    targets.Leave(now, InstanceId(name));
+    targets.MarkLeft(now, InstanceId(name));
     relay.Note(Context(), InstanceId(name), true);
   }
 
