--- a/include/gooseberrysail/control/target_verifier.hpp
+++ b/include/gooseberrysail/control/target_verifier.hpp
@@ -23,7 +23,7 @@
   /// \brief A former identity of an address at which another one has answered.
   struct Replacement
   {
-    TargetLife former;
+    TargetIncarnation former;
     InstanceId present;
   };
 
@@ -54,10 +54,10 @@
     const std::function<bool(const TargetRow&)>& isUnconfirmed);
 
   /// \brief The target itself, not another at its address, answered a query sent at `askedAt`.
-  void OnIdentified(TimePoint askedAt, const TargetLife& life);
+  void OnIdentified(TimePoint askedAt, const TargetIncarnation& life);
 
   /// \brief A report requested at `askedAt` came from the target's address.
-  void OnReport(TimePoint askedAt, const TargetLife& life, const TargetReport& report);
+  void OnReport(TimePoint askedAt, const TargetIncarnation& life, const TargetReport& report);
 
   /// \brief The last answer from the target names the same group as its latest report in the table.
   [[nodiscard]] bool Confirms(const TargetRow& row) const;
@@ -69,7 +69,7 @@
                                  TimePoint since) const;
 
   /// \brief Another target answered at the address: this incarnation has ended.
-  void OnReplaced(const TargetLife& life) { m_replaced.insert(life); }
+  void OnReplaced(const TargetIncarnation& life) { m_replaced.insert(life); }
 
   /// \brief The target's incarnation has certainly ended: another identity answered at its address
   /// after its last announcement.
@@ -115,7 +115,7 @@
 
   Question m_identities;
   Question m_reports;
-  std::set<TargetLife> m_replaced;
+  std::set<TargetIncarnation> m_replaced;
   std::set<InstanceId> m_contested;
 };
 
--- a/include/gooseberrysail/gateway/dispatcher.hpp
+++ b/include/gooseberrysail/gateway/dispatcher.hpp
@@ -98,7 +98,7 @@
     TimePoint sentAt{};       ///< The latest attempt.
     TimePoint firstEventAt{}; ///< The first event went to the caller.
     ExchangeId attempt;       ///< The one in flight; none between attempts.
-    TargetLife target;        ///< Of the latest attempt.
+    TargetIncarnation target; ///< Of the latest attempt.
     std::set<InstanceId> tried;
     std::uint32_t attempts = 0;
     bool mayHaveRun = false;      ///< At least one attempt may have been executed.
@@ -138,7 +138,7 @@
                          std::vector<GatewayOutput>& outbox);
   /// \brief Retries the requests at the matching targets that may be sent to another one.
   void MoveRequests(TimePoint now,
-                    const std::function<bool(const TargetLife&)>& isLost,
+                    const std::function<bool(const TargetIncarnation&)>& isLost,
                     const char* error,
                     Outbox& outbox);
   void StopAttempt(Request& request, Outbox& outbox, bool cancel);
--- a/include/gooseberrysail/gateway/target_board.hpp
+++ b/include/gooseberrysail/gateway/target_board.hpp
@@ -95,31 +95,31 @@
 
   // The functions below ignore events of a target's instance from before its latest restart.
 
-  void OnSent(TimePoint now, const TargetLife& life);
-  void OnBytes(TimePoint now, const TargetLife& life);
-  void OnEnded(const TargetLife& life);
+  void OnSent(TimePoint now, const TargetIncarnation& life);
+  void OnBytes(TimePoint now, const TargetIncarnation& life);
+  void OnEnded(const TargetIncarnation& life);
 
   /// \brief A plain service's whole answer arrived `took` after its request was sent.
-  void OnAnswerTime(TimePoint now, const TargetLife& life, Duration took);
+  void OnAnswerTime(TimePoint now, const TargetIncarnation& life, Duration took);
 
   /// \brief The target refused or failed. For a short time it is used only when no other target has
   /// capacity; the time doubles with each consecutive failure, up to a limit.
-  void OnFailure(TimePoint now, const TargetLife& life);
+  void OnFailure(TimePoint now, const TargetIncarnation& life);
 
   /// \brief An expected answer failed to arrive: like OnFailure, and reported to control.
-  void OnNoAnswer(TimePoint now, const TargetLife& life);
+  void OnNoAnswer(TimePoint now, const TargetIncarnation& life);
 
   /// \brief The connection failed: like OnNoAnswer, and the target gets no requests meanwhile.
-  void OnUnreachable(TimePoint now, const TargetLife& life);
+  void OnUnreachable(TimePoint now, const TargetIncarnation& life);
 
   /// \brief The time of the latest OnNoAnswer() of any target.
   [[nodiscard]] TimePoint LatestNoAnswer() const noexcept { return m_latestNoAnswer; }
 
   /// \brief A whole answer arrived.
-  void OnSuccess(const TargetLife& life);
+  void OnSuccess(const TargetIncarnation& life);
 
   /// \brief Heads with requests in flight that sent no bytes for longer than kStalledAfter.
-  [[nodiscard]] std::vector<TargetLife> ListStalledHeads(TimePoint now) const;
+  [[nodiscard]] std::vector<TargetIncarnation> ListStalledHeads(TimePoint now) const;
 
   [[nodiscard]] const std::map<InstanceId, Row>& Rows() const noexcept { return m_rows; }
 
@@ -140,7 +140,7 @@
   /// \brief Erases rows that are no longer listed and have no requests in flight.
   void DropGone();
   /// \brief Null for a target without a row, and for an instance from before its restart.
-  [[nodiscard]] Row* FindRow(const TargetLife& life);
+  [[nodiscard]] Row* FindRow(const TargetIncarnation& life);
   [[nodiscard]] static bool IsSilent(TimePoint now, const Row& row, Duration limit);
   [[nodiscard]] static bool Fits(const Row& row, const TargetQuery& query);
   /// \brief How the heads that fit a query are divided between the entries.
--- a/src/control/engine_groups.cpp
+++ b/src/control/engine_groups.cpp
@@ -317,7 +317,7 @@
   }
   // A head that is cut off from control but still answers the entries keeps its group.
   const bool isSilent = isFailing ? IsSilent(pass, *head)
-                                  : pass.input.now - head->heardAt > m_settings.SilenceTimeout();
+                                  : pass.input.now - head->lastSeenAt > m_settings.SilenceTimeout();
   const bool answers = pass.input.answering.contains(instance);
   if (isSilent && (isFailing || !answers)) {
     EndLost(pass, group, "its head is silent");
@@ -330,8 +330,8 @@
 {
   const auto unanswered = m_unanswered.find(row.latest.instance);
   const bool gaveNoAnswer =
-    unanswered != m_unanswered.end() && unanswered->second > row.heardAt + kProbeSilence;
-  return gaveNoAnswer || pass.input.now - row.heardAt > m_settings.SuspectTimeout();
+    unanswered != m_unanswered.end() && unanswered->second > row.lastSeenAt + kProbeSilence;
+  return gaveNoAnswer || pass.input.now - row.lastSeenAt > m_settings.SuspectTimeout();
 }
 
 // A stalled head waits for a member. Missing heartbeats would show which one only after 1.8 s, but
@@ -340,7 +340,7 @@
 {
   for (const InstanceId& member : group.members) {
     const TargetRow* row = pass.Row(member);
-    if (row != nullptr && pass.input.now - row->heardAt > kProbeSilence) {
+    if (row != nullptr && pass.input.now - row->lastSeenAt > kProbeSilence) {
       Order(pass, group, member, GroupOrderKind::kProbe);
     }
   }
--- a/src/control/engine_groups_ending.cpp
+++ b/src/control/engine_groups_ending.cpp
@@ -55,7 +55,7 @@
   // The head is unreachable but may still serve: a network fault can separate it from control and
   // from all entries. Without its members it stalls and eventually becomes broken.
   for (const auto& [instance, member] : pass.input.targets.Rows()) {
-    const bool isHeard = pass.input.now - member.heardAt <= m_settings.SilenceTimeout();
+    const bool isHeard = pass.input.now - member.lastSeenAt <= m_settings.SilenceTimeout();
     const bool isMember = instance != head && Reports(&member, group.name, group.epoch);
     if (isHeard && isMember && !IsMemberOfSuccessor(group, instance)) {
       Order(pass, group, instance, GroupOrderKind::kLeave);
@@ -148,7 +148,7 @@
   // it accepted the order to close, the state Ready means closed.
   const bool isClosed = group.closeBegun && !MayOpenLate(pass.input.now, group) &&
                         membership.state == MemberState::Ready;
-  if (head->heardAt <= group.since || head->latest.left) {
+  if (head->lastSeenAt <= group.since || head->latest.left) {
     return nullptr;
   }
   if (membership.state == MemberState::Broken) {
--- a/src/control/engine_groups_learning.cpp
+++ b/src/control/engine_groups_learning.cpp
@@ -56,7 +56,7 @@
     return false;
   }
   const bool isOpenHead = membership.rank == 0 && IsOpenState(membership.state);
-  const bool isNewer = row.heardAt > released->second.at && !m_verifier.IsReplaced(row);
+  const bool isNewer = row.lastSeenAt > released->second.at && !m_verifier.IsReplaced(row);
   return !isNewer || (released->second.isCertain && !isOpenHead);
 }
 
@@ -169,7 +169,7 @@
 // answer to a probe does not contain the identity of the sender.
 void EngineGroups::RecordIdentity(const GroupOrder& order, OrderOutcome outcome)
 {
-  const TargetLife life{ order.target, order.born };
+  const TargetIncarnation life{ order.target, order.born };
   if (outcome == OrderOutcome::kReplaced) {
     m_verifier.OnReplaced(life);
     return;
--- a/src/control/engine_groups_planning.cpp
+++ b/src/control/engine_groups_planning.cpp
@@ -319,7 +319,7 @@
   // A target that has ended stays in the table for a while, in addition to its replacement.
   const auto targets = std::ranges::count_if(pass.input.targets.Rows(), [&](const auto& row) {
     const TargetRow& target = row.second;
-    const bool isHeard = pass.input.now - target.heardAt <= m_settings.SilenceTimeout();
+    const bool isHeard = pass.input.now - target.lastSeenAt <= m_settings.SilenceTimeout();
     return target.latest.service == service.name && isHeard && !IsLeaving(&target) &&
            !m_verifier.IsReplaced(target);
   });
@@ -431,7 +431,7 @@
     const Staging& staging = entry.second;
     const TargetRow* row = pass.Row(entry.first);
     if (row == nullptr || row->latest.left ||
-        pass.input.now - row->heardAt > m_settings.SilenceTimeout()) {
+        pass.input.now - row->lastSeenAt > m_settings.SilenceTimeout()) {
       return true;
     }
     const bool isDone =
--- a/src/control/serving_control.cpp
+++ b/src/control/serving_control.cpp
@@ -96,7 +96,7 @@
     Handle(context, exchange, MalformedCall{ instance.Get(), "no document names its service" });
     return;
   }
-  const TargetTable::Change change = m_targets.Hear(context.now, call.announcement);
+  const TargetTable::Change change = m_targets.Update(context.now, call.announcement);
   const bool stateChanged = change == TargetTable::Change::kState;
   if (change != TargetTable::Change::kNone) {
     m_relay.Enqueue(context, instance, stateChanged);
@@ -127,7 +127,7 @@
     Respond(context, exchange, { OutsideStatus::kUnavailable, {}, "no leader is known", {} });
     return;
   }
-  if (m_targets.Leave(context.now, call.instance) == TargetTable::Change::kState) {
+  if (m_targets.MarkLeft(context.now, call.instance) == TargetTable::Change::kState) {
     NoteChange(context, call.instance);
   }
   m_relay.Enqueue(context, call.instance, true);
@@ -192,8 +192,9 @@
 void ServingControl::OnHeard(ControlContext& context, const wire::TargetHeardT& heard)
 {
   const TargetTable::Change change =
-    heard.left ? m_targets.Leave(context.now, InstanceId(heard.instance), Incarnation(heard.born))
-               : m_targets.Hear(context.now, FromWire(heard));
+    heard.left
+      ? m_targets.MarkLeft(context.now, InstanceId(heard.instance), Incarnation(heard.born))
+      : m_targets.Update(context.now, FromWire(heard));
   if (change == TargetTable::Change::kState) {
     m_nextReconcile = context.now;
   }
@@ -260,7 +261,7 @@
   }
   if (context.now >= m_nextForget) {
     m_nextForget = context.now + kForgetInterval;
-    m_targets.Forget(context.now);
+    m_targets.RemoveExpired(context.now);
   }
   if (std::optional<EventOut> report = m_refused.TakeReport(context.now)) {
     context.outbox.emplace_back(std::move(*report));
@@ -423,7 +424,7 @@
   std::vector<ServedTarget> targets;
   for (const auto& [instance, row] : m_targets.Rows()) {
     const TargetAnnouncement& latest = row.latest;
-    if (latest.address.empty() || context.now - row.heardAt > TargetTable::kKeepGone ||
+    if (latest.address.empty() || context.now - row.lastSeenAt > TargetTable::kDepartedRetention ||
         !TakesRequests(latest)) {
       continue;
     }
--- a/src/control/target_relay.cpp
+++ b/src/control/target_relay.cpp
@@ -39,7 +39,7 @@
   pending.due = context.now;
   for (const auto& [instance, row] : targets.Rows()) {
     // Forwarding the old announcement of a silent target would count as a new heartbeat of it.
-    if (row.latest.left || context.now - row.heardAt <= kRecentlyHeard) {
+    if (row.latest.left || context.now - row.lastSeenAt <= kRecentlyHeard) {
       pending.targets.insert(instance);
     }
   }
--- a/src/gateway/dispatcher.cpp
+++ b/src/gateway/dispatcher.cpp
@@ -301,9 +301,9 @@
   for (const ExchangeId exchange : m_queue.TakeExpired(now)) {
     GiveUp(now, *Find(exchange), outbox);
   }
-  for (const TargetLife& head : m_selector.ListStalledHeads(now)) {
+  for (const TargetIncarnation& head : m_selector.ListStalledHeads(now)) {
     m_selector.OnNoAnswer(now, head);
-    const auto isStalled = [&](const TargetLife& target) { return target == head; };
+    const auto isStalled = [&](const TargetIncarnation& target) { return target == head; };
     MoveRequests(now, isStalled, "its head stands still", outbox);
   }
   UseFreedSlots(now, outbox);
@@ -335,7 +335,7 @@
                                    std::span<const InstanceId> restarted,
                                    Outbox& outbox)
 {
-  const auto hasRestarted = [&](const TargetLife& target) {
+  const auto hasRestarted = [&](const TargetIncarnation& target) {
     return std::ranges::find(restarted, target.instance) != restarted.end();
   };
   MoveRequests(now, hasRestarted, "its target started again", outbox);
@@ -344,7 +344,7 @@
 
 // Requests that may not be retried stay: their answer may already have been sent.
 void Dispatcher::MoveRequests(TimePoint now,
-                              const std::function<bool(const TargetLife&)>& isLost,
+                              const std::function<bool(const TargetIncarnation&)>& isLost,
                               const char* error,
                               Outbox& outbox)
 {
--- a/src/gateway/target_board.cpp
+++ b/src/gateway/target_board.cpp
@@ -139,7 +139,7 @@
     std::ranges::count_if(m_rows, [](const auto& row) { return !row.second.gone; }));
 }
 
-TargetSelector::Row* TargetSelector::FindRow(const TargetLife& life)
+TargetSelector::Row* TargetSelector::FindRow(const TargetIncarnation& life)
 {
   const auto found = m_rows.find(life.instance);
   const bool isPresent = found != m_rows.end() && found->second.target.born == life.born;
@@ -332,7 +332,7 @@
   return std::ranges::any_of(m_rows, [&](const auto& row) { return Fits(row.second, query); });
 }
 
-void TargetSelector::OnSent(TimePoint now, const TargetLife& life)
+void TargetSelector::OnSent(TimePoint now, const TargetIncarnation& life)
 {
   Row* row = FindRow(life);
   if (row != nullptr && row->inFlight++ == 0) {
@@ -341,7 +341,7 @@
   }
 }
 
-void TargetSelector::OnBytes(TimePoint now, const TargetLife& life)
+void TargetSelector::OnBytes(TimePoint now, const TargetIncarnation& life)
 {
   if (Row* row = FindRow(life)) {
     row->answeredAt = now;
@@ -351,14 +351,14 @@
   }
 }
 
-void TargetSelector::OnAnswerTime(TimePoint now, const TargetLife& life, Duration took)
+void TargetSelector::OnAnswerTime(TimePoint now, const TargetIncarnation& life, Duration took)
 {
   if (Row* row = FindRow(life)) {
     row->stepTime.OnAnswer(now, took);
   }
 }
 
-void TargetSelector::OnEnded(const TargetLife& life)
+void TargetSelector::OnEnded(const TargetIncarnation& life)
 {
   Row* row = FindRow(life);
   if (row == nullptr || row->inFlight == 0) {
@@ -369,7 +369,7 @@
   }
 }
 
-void TargetSelector::OnFailure(TimePoint now, const TargetLife& life)
+void TargetSelector::OnFailure(TimePoint now, const TargetIncarnation& life)
 {
   if (Row* row = FindRow(life)) {
     if (IsAvoided(now, *row)) {
@@ -381,7 +381,7 @@
   }
 }
 
-void TargetSelector::OnUnreachable(TimePoint now, const TargetLife& life)
+void TargetSelector::OnUnreachable(TimePoint now, const TargetIncarnation& life)
 {
   OnNoAnswer(now, life);
   if (Row* row = FindRow(life)) {
@@ -389,7 +389,7 @@
   }
 }
 
-void TargetSelector::OnNoAnswer(TimePoint now, const TargetLife& life)
+void TargetSelector::OnNoAnswer(TimePoint now, const TargetIncarnation& life)
 {
   if (Row* row = FindRow(life)) {
     row->noAnswerAt = now;
@@ -398,16 +398,16 @@
   OnFailure(now, life);
 }
 
-void TargetSelector::OnSuccess(const TargetLife& life)
+void TargetSelector::OnSuccess(const TargetIncarnation& life)
 {
   if (Row* row = FindRow(life)) {
     row->failures = 0;
   }
 }
 
-std::vector<TargetLife> TargetSelector::ListStalledHeads(TimePoint now) const
+std::vector<TargetIncarnation> TargetSelector::ListStalledHeads(TimePoint now) const
 {
-  std::vector<TargetLife> stalled;
+  std::vector<TargetIncarnation> stalled;
   for (const auto& [instance, row] : m_rows) {
     if (IsSilent(now, row, kStalledAfter)) {
       stalled.push_back({ instance, row.target.born });
--- a/tests/support/agent_harness.cpp
+++ b/tests/support/agent_harness.cpp
@@ -61,7 +61,7 @@
     RoleHooks{ [this] { return ++m_random; }, [] { return WallMillis{ 0 }; } });
 }
 
-void AgentHarness::Give(AgentInput input)
+void AgentHarness::Deliver(AgentInput input)
 {
   m_inbox.push_back(std::move(input));
   Tick();
@@ -102,17 +102,17 @@
     if (onOutput) {
       onOutput(m_now, output);
     }
-    Take(output);
+    Handle(output);
   }
 }
 
-void AgentHarness::Take(const AgentOutput& output)
+void AgentHarness::Handle(const AgentOutput& output)
 {
   if (const auto* frame = std::get_if<FrameOut>(&output)) {
     m_sent.push_back(*frame);
-    TakeFrame(*frame);
+    HandleFrame(*frame);
   } else if (const auto* call = std::get_if<TargetCallOut>(&output)) {
-    TakeCall(*call);
+    HandleCall(*call);
   } else if (const auto* cancel = std::get_if<TargetCancelOut>(&output)) {
     for (TargetCall& each : m_calls) {
       each.cancelled = each.cancelled || each.exchange == cancel->exchange;
@@ -124,7 +124,7 @@
   }
 }
 
-void AgentHarness::TakeFrame(const FrameOut& frame)
+void AgentHarness::HandleFrame(const FrameOut& frame)
 {
   const auto& body = frame.envelope->body;
   const auto reply = [this, &frame](auto message) {
@@ -195,7 +195,7 @@
   m_inbox.push_back(TargetAnswerIn{ exchange, status, {}, std::move(body), true });
 }
 
-void AgentHarness::TakeCall(const TargetCallOut& call)
+void AgentHarness::HandleCall(const TargetCallOut& call)
 {
   if (call.path == "/health") {
     if (targetAlive) {
@@ -211,7 +211,7 @@
     return;
   }
   if (call.path.starts_with("/orders/")) {
-    TakeOrder(call);
+    HandleOrder(call);
     return;
   }
   if (call.path.starts_with("/cache_events")) {
@@ -225,7 +225,7 @@
   m_calls.push_back(TargetCall{ call.exchange, request, call.path, call.body, false });
 }
 
-void AgentHarness::TakeOrder(const TargetCallOut& call)
+void AgentHarness::HandleOrder(const TargetCallOut& call)
 {
   m_orders.push_back(call.path + " " + call.body);
   const auto body = boost::json::parse(call.body).as_object();
@@ -250,9 +250,9 @@
 
 void AgentHarness::FailOpenOrder()
 {
-  Give(TargetFailedIn{ *m_openOrder,
-                       Error{ ErrorCode::kTimeout, "call target", "target", "connection lost" },
-                       false });
+  Deliver(TargetFailedIn{ *m_openOrder,
+                          Error{ ErrorCode::kTimeout, "call target", "target", "connection lost" },
+                          false });
   m_openOrder.reset();
 }
 
@@ -395,14 +395,14 @@
   if (first) {
     answer.status = kOk;
   }
-  Give(std::move(answer));
+  Deliver(std::move(answer));
 }
 
 void AgentHarness::FailCall(const std::string& request, bool neverSent)
 {
-  Give(TargetFailedIn{ CallOf(request)->exchange,
-                       Error{ ErrorCode::kIo, "call target", "target", "connection reset" },
-                       neverSent });
+  Deliver(TargetFailedIn{ CallOf(request)->exchange,
+                          Error{ ErrorCode::kIo, "call target", "target", "connection reset" },
+                          neverSent });
 }
 
 AgentHarness::Received AgentHarness::ReceivedOf(const std::string& request) const
@@ -447,7 +447,7 @@
   Start(request);
   const TargetCall* call = CallOf(request);
   if (call == nullptr) {
-    m_whyNot = RefusalOf(request);
+    m_lastRefusal = RefusalOf(request);
     return false;
   }
   AnswerCall(request, "ok", true);
--- a/tests/unit/engine_groups_safety_test.cpp
+++ b/tests/unit/engine_groups_safety_test.cpp
@@ -193,7 +193,7 @@
     ASSERT_TRUE(fleet.Keeper().ServingHeads().contains(head));
 
     const std::size_t before = fleet.Orders().size();
-    fleet.Table().Hear(fleet.now, late);
+    fleet.Table().Update(fleet.now, late);
     for (int i = 0; i < 50; ++i) {
       fleet.Run(100ms);
       EXPECT_TRUE(fleet.Keeper().ServingHeads().contains(head)) << reportsNoGroup << " " << i;
@@ -292,7 +292,7 @@
     TargetAnnouncement old = fleet.At(member.Get()).self;
     ++old.sequence;
     old.membership = {};
-    fleet.Table().Hear(fleet.now, old);
+    fleet.Table().Update(fleet.now, old);
     GroupOrder probe;
     probe.target = member;
     probe.kind = GroupOrderKind::kProbe;
@@ -317,8 +317,8 @@
   former.sequence = 1;
   TargetAnnouncement present = former;
   present.instance = InstanceId("present");
-  fleet.Table().Hear(fleet.now, former);
-  fleet.Table().Hear(fleet.now, present);
+  fleet.Table().Update(fleet.now, former);
+  fleet.Table().Update(fleet.now, present);
   const std::size_t before = fleet.Orders().size();
   fleet.Run(2s);
   EXPECT_EQ(fleet.Orders().size(), before);
--- a/tests/unit/engine_groups_test.cpp
+++ b/tests/unit/engine_groups_test.cpp
@@ -334,7 +334,7 @@
       TargetAnnouncement late = fleet.At(domain + std::to_string(number)).self;
       late.membership = {};
       late.sequence = 1;
-      fleet.Table().Hear(fleet.now + 1ms, late);
+      fleet.Table().Update(fleet.now + 1ms, late);
     }
   }
   fleet.Run(10s);
@@ -573,7 +573,7 @@
       TargetAnnouncement old = fleet.At(head).self;
       ++old.sequence;
       old.membership = {};
-      fleet.Table().Hear(fleet.now, old);
+      fleet.Table().Update(fleet.now, old);
       fleet.Run(700ms);
     }
     fleet.Run(5s);
--- a/tests/unit/target_relay_test.cpp
+++ b/tests/unit/target_relay_test.cpp
@@ -31,13 +31,13 @@
     announcement.instance = InstanceId(name);
     announcement.address = name + ":8080";
     announcement.sequence = sequence;
-    const bool isUrgent = targets.Hear(now, announcement) == TargetTable::Change::kState;
+    const bool isUrgent = targets.Update(now, announcement) == TargetTable::Change::kState;
     relay.Enqueue(Context(), announcement.instance, isUrgent);
   }
 
   void Leave(const std::string& name)
   {
-    targets.Leave(now, InstanceId(name));
+    targets.MarkLeft(now, InstanceId(name));
     relay.Enqueue(Context(), InstanceId(name), true);
   }
 
