--- a/include/gooseberrysail/catalogue/catalogue.hpp
+++ b/include/gooseberrysail/catalogue/catalogue.hpp
@@ -13,7 +13,7 @@
 
 namespace gooseberrysail {
 
-/// \brief A process's copy of the catalogue; its version only rises.
+/// \brief A process's copy of the catalogue. Its version never decreases.
 /// \code
 /// Catalogue catalogue;
 /// Result<bool> newer = catalogue.Apply(*state);
@@ -22,13 +22,13 @@
 class Catalogue
 {
 public:
-  /// \brief Takes over a whole copy or the changes after a version that this copy has reached.
-  /// \returns Whether the copy moved on; false for an older or equal version, which is ignored.
-  /// kConflict when changes are missing in between: ask again with Version().
-  /// \remarks All or nothing: with an error the copy is as before.
+  /// \brief Applies a full copy, or a delta from a version that this copy has reached.
+  /// \returns Whether the copy changed; false for an older or equal version, which is ignored.
+  /// kConflict if the delta starts after Version(); request the changes since Version() instead.
+  /// \remarks After an error the copy is unchanged.
   [[nodiscard]] Result<bool> Apply(const wire::ConfigStateT& state);
 
-  /// \brief 0 until the first copy.
+  /// \brief 0 until a copy has been applied.
   [[nodiscard]] LogIndex Version() const noexcept { return m_version; }
 
   [[nodiscard]] const CatalogueEntry* Find(wire::EntryKind kind, std::string_view name) const;
@@ -37,12 +37,12 @@
   [[nodiscard]] const ServiceSpec* FindService(const EntryName& name) const;
   [[nodiscard]] const TargetSpec* FindTarget(const VmId& vm) const;
   [[nodiscard]] const WorkspaceSpec* FindWorkspace(const WorkspaceId& workspace) const;
-  /// \brief The workspace whose bearer token has this hash; null when none has.
+  /// \brief The workspace whose bearer token has this hash, or null.
   [[nodiscard]] const CatalogueEntry* FindWorkspaceByToken(std::string_view tokenHash) const;
-  /// \brief The entry named `default`, or the defaults.
+  /// \brief The policy named `default`, or the default values if there is none.
   [[nodiscard]] const PolicySpec& Policy() const;
 
-  /// \brief All entries of a kind by name.
+  /// \brief The entries of one kind, by name.
   using EntryMap = std::map<std::string, CatalogueEntry, std::less<>>;
   [[nodiscard]] const EntryMap& All(wire::EntryKind kind) const;
 
--- a/include/gooseberrysail/catalogue/codec.hpp
+++ b/include/gooseberrysail/catalogue/codec.hpp
@@ -10,7 +10,7 @@
 #include <string_view>
 #include <wire_generated.h>
 
-/// \file Catalogue entries as JSON: in operators' files, on the admin API and in the log.
+/// \file The JSON form of catalogue entries, used in operators' files, the admin API and the log.
 /// \code
 /// {"kind":"model","name":"hire-assist","owner":"hire-desk","class":"interactive",
 ///  "spec":{"version":"2026-11","replicas":30,"defaultDeadlineMs":120000}}
@@ -29,17 +29,17 @@
 [[nodiscard]] std::string_view ClassName(PriorityClass priorityClass) noexcept;
 [[nodiscard]] std::optional<PriorityClass> FindClass(std::string_view name) noexcept;
 
-/// \brief Validates an entry as operators write it.
-/// \returns The item with a canonical specification: every field, in one order. Otherwise an error
-/// that names, for every fault at once, the field, its value and what is allowed.
+/// \brief Parses and validates an entry in the form that operators write.
+/// \returns The item with a canonical specification, which has all fields in a fixed order. The
+/// error lists every invalid field with its value and the allowed values.
 [[nodiscard]] Result<wire::CatalogueItemT> ParseItemJson(const boost::json::value& json);
 
-/// \brief The form that operators read: as written, with `revision` and `version`.
+/// \brief Returns the form that operators read: all fields, and `revision` and `version`.
 [[nodiscard]] boost::json::object ItemToJson(const wire::CatalogueItemT& item);
 
 /// \brief Unpacks a stored item.
-/// \remarks Fields unknown to this program are skipped: during an upgrade a newer control may
-/// write some, and refusing them would cut this process off from all changes.
+/// \remarks Unknown fields are skipped. During an upgrade a newer control process may write some;
+/// if they were rejected, this process would receive no more changes.
 [[nodiscard]] Result<CatalogueEntry> ParseEntry(const wire::CatalogueItemT& item);
 
 /// \brief Packs an entry; the inverse of ParseEntry.
--- a/include/gooseberrysail/catalogue/entry.hpp
+++ b/include/gooseberrysail/catalogue/entry.hpp
@@ -10,7 +10,7 @@
 
 namespace gooseberrysail {
 
-/// \brief How urgent work is. A smaller number goes first.
+/// \brief The priority of a request. A smaller number is served first.
 enum class PriorityClass : std::uint8_t
 {
   kInteractive = 0,
@@ -22,10 +22,10 @@
 struct ModelSpec
 {
   std::string version;                 ///< Weights to load, such as "2026-11".
-  std::uint32_t replicas = 1;          ///< Wanted groups.
+  std::uint32_t replicas = 1;          ///< Desired number of groups.
   std::uint32_t membersPerReplica = 4; ///< VMs in a group.
-  std::uint32_t maxConcurrent = 64;    ///< Requests running at once in one group.
-  std::uint32_t maxQueued = 64;        ///< Requests waiting at once in one group.
+  std::uint32_t maxConcurrent = 64;    ///< Concurrent requests in one group.
+  std::uint32_t maxQueued = 64;        ///< Queued requests in one group.
   Duration defaultDeadline = std::chrono::seconds(120);
 };
 
@@ -36,7 +36,7 @@
   std::string pathPrefix; ///< Below `/services/{name}`.
 };
 
-/// \brief A plain service; its targets name it when they announce themselves.
+/// \brief A plain service. Its targets name it when they register.
 struct ServiceSpec
 {
   std::uint32_t maxConcurrent = 64;
@@ -55,27 +55,27 @@
   std::vector<std::string> allowed; ///< Models and services it may call; empty: all.
 };
 
-/// \brief What operators want of one target VM.
+/// \brief The state of one target VM as configured by operators.
 struct TargetSpec
 {
   bool draining = false; ///< No new work; its group is released once idle.
 };
 
-/// \brief Weights and limits of the system's own decisions. The entry named `default` applies.
+/// \brief Weights and limits for automatic decisions. The entry named `default` is used.
 struct PolicySpec
 {
   double downtimeWeight = 1; ///< Cost of one group down for one second.
   double strandedWeight = 1; ///< Cost of one idle healthy accelerator for one second.
   Duration memberTimeout = std::chrono::milliseconds(1500);
-  Duration repairPatience = std::chrono::seconds(10); ///< Longest wait for a lost member's return.
+  Duration repairPatience = std::chrono::seconds(10); ///< Longest wait for a lost member to return.
   Duration confirmationLimit = std::chrono::seconds(5); ///< Oldest confirmation that admits work.
-  bool serveUnconfirmed = false;                        ///< Go on serving when confirmations lapse.
+  bool serveUnconfirmed = false; ///< Keep serving after confirmations expire.
   std::uint32_t weightLoadsAtOnce = 4;
 };
 
 using EntrySpec = std::variant<ModelSpec, ServiceSpec, WorkspaceSpec, TargetSpec, PolicySpec>;
 
-/// \brief One catalogue entry in force.
+/// \brief One entry of the current catalogue.
 struct CatalogueEntry
 {
   EntryName name;
--- a/src/catalogue/catalogue.cpp
+++ b/src/catalogue/catalogue.cpp
@@ -21,8 +21,8 @@
 Result<bool> Catalogue::Apply(const wire::ConfigStateT& state)
 {
   if (state.version <= m_version.Get()) {
-    // A lagging control or a late frame. Taking it would bring back what was changed since, and
-    // only callers would notice: a withdrawn token admitted, a drained target in use.
+    // From a lagging control process or a delayed frame. Applying it would undo newer changes, for
+    // example admit a revoked token or use a drained target again.
     return false;
   }
   const bool whole = state.fromVersion == 0;
@@ -108,8 +108,8 @@
 
 const CatalogueEntry* Catalogue::FindWorkspaceByToken(std::string_view tokenHash) const
 {
-  // Looked up by hash, not by token: what the time of a hash look-up tells about a stored hash is
-  // of no use for finding a token with that hash.
+  // The lookup need not take constant time: its timing can reveal parts of a stored hash, but not a
+  // token with that hash.
   const auto found = m_workspaceByToken.find(std::string(tokenHash));
   return found == m_workspaceByToken.end() ? nullptr
                                            : Find(wire::EntryKind::Workspace, found->second);
--- a/src/catalogue/codec.cpp
+++ b/src/catalogue/codec.cpp
@@ -48,20 +48,20 @@
 
 enum class UnknownFields
 {
-  kRefuse,
+  kReject,
   kSkip,
 };
 
 EntrySpec ReadSpec(wire::EntryKind kind,
                    const json::object& object,
                    UnknownFields unknown,
-                   impl::Faults& faults)
+                   impl::ValidationErrors& errors)
 {
   EntrySpec spec = DefaultSpec(kind);
-  impl::SpecReader reader(object, "spec.", faults);
+  impl::SpecReader reader(object, "spec.", errors);
   std::visit([&](auto& fields) { impl::VisitFields(reader, fields); }, spec);
-  if (unknown == UnknownFields::kRefuse) {
-    reader.RefuseUnknown();
+  if (unknown == UnknownFields::kReject) {
+    reader.RejectUnknown();
   }
   return spec;
 }
@@ -73,36 +73,37 @@
   return json::serialize(writer.Take());
 }
 
-Error Invalid(const impl::Faults& faults, std::string_view name)
+Error Invalid(const impl::ValidationErrors& errors, std::string_view name)
 {
-  return Error{ ErrorCode::kInvalid, "validate catalogue entry", std::string(name), faults.Text() };
+  return Error{ ErrorCode::kInvalid, "validate catalogue entry", std::string(name), errors.Text() };
 }
 
-/// \brief Checks a field of the entry's frame; a missing one is a fault of its own.
+/// \brief Validates a text field outside of `spec`; the field is required.
 template<class Check>
 void CheckText(const json::object& object,
                std::string_view field,
                std::string_view allowed,
-               impl::Faults& faults,
-               Check fits)
+               impl::ValidationErrors& errors,
+               Check valid)
 {
   const json::value* value = object.if_contains(json::string_view(field.data(), field.size()));
   if (value == nullptr) {
-    faults.AddMissing(field, allowed);
-  } else if (!value->is_string() || !fits(TextOf(value))) {
-    faults.Add(field, *value, allowed);
+    errors.AddMissing(field, allowed);
+  } else if (!value->is_string() || !valid(TextOf(value))) {
+    errors.Add(field, *value, allowed);
   }
 }
 
-void RefuseUnknownFrame(const json::object& object, impl::Faults& faults)
+void RejectUnknownFields(const json::object& object, impl::ValidationErrors& errors)
 {
-  // `revision` and `version` are what a read gives: an entry may be written back as it was read.
+  // `revision` and `version` are accepted so that an entry can be written back in the form in which
+  // it was read.
   constexpr std::array<std::string_view, 7> kKnown{ "kind", "name",     "owner",  "class",
                                                     "spec", "revision", "version" };
   for (const auto& field : object) {
     const std::string_view key(field.key().data(), field.key().size());
     if (std::find(kKnown.begin(), kKnown.end(), key) == kKnown.end()) {
-      faults.Add(key, field.value(), "no such field; known are kind, name, owner, class, spec");
+      errors.Add(key, field.value(), "no such field; known are kind, name, owner, class, spec");
     }
   }
 }
@@ -146,39 +147,39 @@
 
 Result<wire::CatalogueItemT> ParseItemJson(const json::value& value)
 {
-  impl::Faults faults;
+  impl::ValidationErrors errors;
   const json::object* object = value.if_object();
   if (object == nullptr) {
-    faults.Add("entry", value, "an object with kind, name, owner, class and spec");
-    return Invalid(faults, "");
+    errors.Add("entry", value, "an object with kind, name, owner, class and spec");
+    return Invalid(errors, "");
   }
   const auto kind = FindKind(TextOf(object->if_contains("kind")));
   const std::string_view name = TextOf(object->if_contains("name"));
   const std::string allowedOwner =
     "text of 1 to " + std::to_string(kMaxOwnerLength) + " characters";
-  CheckText(*object, "kind", kKindRule, faults, [&](std::string_view) { return kind.has_value(); });
-  CheckText(*object, "name", impl::kNameRule, faults, impl::IsName);
-  CheckText(*object, "owner", allowedOwner, faults, [](std::string_view text) {
+  CheckText(*object, "kind", kKindRule, errors, [&](std::string_view) { return kind.has_value(); });
+  CheckText(*object, "name", impl::kNameRule, errors, impl::IsValidName);
+  CheckText(*object, "owner", allowedOwner, errors, [](std::string_view text) {
     return !text.empty() && text.size() <= kMaxOwnerLength;
   });
   if (object->contains("class")) {
-    CheckText(*object, "class", kClassRule, faults, [](std::string_view text) {
+    CheckText(*object, "class", kClassRule, errors, [](std::string_view text) {
       return FindClass(text).has_value();
     });
   }
-  RefuseUnknownFrame(*object, faults);
+  RejectUnknownFields(*object, errors);
 
-  static const json::object kNoFields;
+  static const json::object kEmptyObject;
   const json::value* specValue = object->if_contains("spec");
-  const json::object* specObject = specValue != nullptr ? specValue->if_object() : &kNoFields;
+  const json::object* specObject = specValue != nullptr ? specValue->if_object() : &kEmptyObject;
   EntrySpec spec;
   if (specObject == nullptr) {
-    faults.Add("spec", *specValue, "an object");
+    errors.Add("spec", *specValue, "an object");
   } else if (kind) {
-    spec = ReadSpec(*kind, *specObject, UnknownFields::kRefuse, faults);
+    spec = ReadSpec(*kind, *specObject, UnknownFields::kReject, errors);
   }
-  if (!faults.Empty()) {
-    return Invalid(faults, name);
+  if (!errors.Empty()) {
+    return Invalid(errors, name);
   }
 
   wire::CatalogueItemT item;
@@ -198,9 +199,9 @@
   object["name"] = item.name;
   object["owner"] = item.owner;
   object["class"] = item.priorityClass;
-  json::error_code failure;
-  json::value spec = json::parse(item.spec, failure);
-  object["spec"] = failure ? json::value(json::object()) : std::move(spec);
+  json::error_code parseError;
+  json::value spec = json::parse(item.spec, parseError);
+  object["spec"] = parseError ? json::value(json::object()) : std::move(spec);
   object["revision"] = item.revision;
   object["version"] = item.version;
   if (item.deleted) {
@@ -211,26 +212,26 @@
 
 Result<CatalogueEntry> ParseEntry(const wire::CatalogueItemT& item)
 {
-  impl::Faults faults;
+  impl::ValidationErrors errors;
   const auto priorityClass = FindClass(item.priorityClass);
   if (!priorityClass) {
-    faults.Add("class", json::value(item.priorityClass), kClassRule);
+    errors.Add("class", json::value(item.priorityClass), kClassRule);
   }
-  json::error_code failure;
-  const json::value value = json::parse(item.spec, failure);
-  const bool isObject = !failure && value.is_object();
+  json::error_code parseError;
+  const json::value value = json::parse(item.spec, parseError);
+  const bool isObject = !parseError && value.is_object();
   if (!isObject) {
-    faults.Add("spec", json::value(item.spec), "a JSON object");
+    errors.Add("spec", json::value(item.spec), "a JSON object");
   }
   if (static_cast<std::size_t>(item.kind) >= kKindNames.size()) {
-    faults.Add("kind", json::value(static_cast<int>(item.kind)), kKindRule);
+    errors.Add("kind", json::value(static_cast<int>(item.kind)), kKindRule);
   }
   EntrySpec spec;
-  if (faults.Empty()) {
-    spec = ReadSpec(item.kind, value.get_object(), UnknownFields::kSkip, faults);
+  if (errors.Empty()) {
+    spec = ReadSpec(item.kind, value.get_object(), UnknownFields::kSkip, errors);
   }
-  if (!faults.Empty()) {
-    return Invalid(faults, item.name);
+  if (!errors.Empty()) {
+    return Invalid(errors, item.name);
   }
   CatalogueEntry entry;
   entry.name = EntryName(item.name);
--- a/src/catalogue/spec_fields.hpp
+++ b/src/catalogue/spec_fields.hpp
@@ -5,8 +5,8 @@
 #include <chrono>
 #include <limits>
 
-/// \file Every field of every kind of specification, with its range, named once. A visitor that
-/// reads validates by it; one that writes gives the canonical form.
+/// \file The fields of each kind of specification with their ranges. SpecReader visits them to
+/// parse and validate, SpecWriter to write the canonical form.
 
 namespace gooseberrysail::impl {
 
--- a/src/catalogue/spec_reader.cpp
+++ b/src/catalogue/spec_reader.cpp
@@ -17,7 +17,7 @@
 constexpr std::size_t kMaxNameLength = 100;
 constexpr std::size_t kHashLength = 64;
 constexpr std::size_t kMaxListLength = 10'000;
-constexpr std::size_t kShownValueLength = 100;
+constexpr std::size_t kMaxShownLength = 100;
 constexpr std::size_t kMaxPathPrefixLength = 1'000;
 
 bool IsAlphanumeric(char letter) noexcept
@@ -37,8 +37,10 @@
   return text.str();
 }
 
-/// \returns The number when it is whole and in the range.
-std::optional<std::int64_t> WholeIn(const json::value& value, std::int64_t low, std::int64_t high)
+/// \returns The number if it is an integer within the range.
+std::optional<std::int64_t> IntegerInRange(const json::value& value,
+                                           std::int64_t low,
+                                           std::int64_t high)
 {
   std::int64_t number = 0;
   if (value.is_int64()) {
@@ -65,7 +67,7 @@
   return std::nullopt;
 }
 
-bool IsHash(std::string_view text) noexcept
+bool IsValidHash(std::string_view text) noexcept
 {
   return text.size() == kHashLength && std::all_of(text.begin(), text.end(), [](char letter) {
            return (letter >= '0' && letter <= '9') || (letter >= 'a' && letter <= 'f');
@@ -77,11 +79,11 @@
   return { text.data(), text.size() };
 }
 
-/// \brief Whole numbers without exponent, so that one value has one form.
+/// \brief Returns integral values as integers, so that each value has only one form.
 json::value CanonicalReal(double value)
 {
-  constexpr double kExact = 9007199254740992.0; // 2^53
-  if (std::floor(value) == value && std::abs(value) < kExact) {
+  constexpr double kMaxExactInteger = 9007199254740992.0; // 2^53
+  if (std::floor(value) == value && std::abs(value) < kMaxExactInteger) {
     return static_cast<std::int64_t>(value);
   }
   return value;
@@ -107,17 +109,18 @@
       return std::nullopt;
     }
   }
-  const bool methodFits = std::all_of(call.method.begin(), call.method.end(), [](char letter) {
+  const bool validMethod = std::all_of(call.method.begin(), call.method.end(), [](char letter) {
     return letter >= 'A' && letter <= 'Z';
   });
-  const bool pathFits = call.pathPrefix.empty() || (call.pathPrefix.front() == '/' &&
-                                                    call.pathPrefix.size() <= kMaxPathPrefixLength);
-  return methodFits && pathFits ? std::optional(std::move(call)) : std::nullopt;
+  const bool validPath =
+    call.pathPrefix.empty() ||
+    (call.pathPrefix.front() == '/' && call.pathPrefix.size() <= kMaxPathPrefixLength);
+  return validMethod && validPath ? std::optional(std::move(call)) : std::nullopt;
 }
 
 } // namespace
 
-bool IsName(std::string_view text) noexcept
+bool IsValidName(std::string_view text) noexcept
 {
   return !text.empty() && text.size() <= kMaxNameLength && IsAlphanumeric(text.front()) &&
          std::all_of(text.begin(), text.end(), [](char letter) {
@@ -125,22 +128,24 @@
          });
 }
 
-void Faults::Add(std::string_view field, const json::value& value, std::string_view allowed)
+void ValidationErrors::Add(std::string_view field,
+                           const json::value& value,
+                           std::string_view allowed)
 {
   std::string shown = json::serialize(value);
-  if (shown.size() > kShownValueLength) {
-    shown.resize(kShownValueLength);
+  if (shown.size() > kMaxShownLength) {
+    shown.resize(kMaxShownLength);
     shown += "...";
   }
   m_lines.push_back(std::string(field) + " is " + shown + ", allowed: " + std::string(allowed));
 }
 
-void Faults::AddMissing(std::string_view field, std::string_view allowed)
+void ValidationErrors::AddMissing(std::string_view field, std::string_view allowed)
 {
   m_lines.push_back(std::string(field) + " is missing, allowed: " + std::string(allowed));
 }
 
-std::string Faults::Text() const
+std::string ValidationErrors::Text() const
 {
   std::string text;
   for (const std::string& line : m_lines) {
@@ -149,28 +154,30 @@
   return text;
 }
 
-const json::value* SpecReader::Take(std::string_view field)
+const json::value* SpecReader::Find(std::string_view field)
 {
   m_known.emplace(field);
   return m_json.if_contains(json::string_view(field.data(), field.size()));
 }
 
-void SpecReader::Fault(std::string_view field, const json::value& value, std::string_view allowed)
+void SpecReader::AddError(std::string_view field,
+                          const json::value& value,
+                          std::string_view allowed)
 {
-  m_faults.Add(m_prefix + std::string(field), value, allowed);
+  m_errors.Add(m_prefix + std::string(field), value, allowed);
 }
 
 void SpecReader::RequiredText(std::string_view field, std::string& target, std::size_t maxLength)
 {
   const std::string allowed = RangeText("text of", "1", std::to_string(maxLength) + " characters");
-  const json::value* value = Take(field);
+  const json::value* value = Find(field);
   if (value == nullptr) {
-    m_faults.AddMissing(m_prefix + std::string(field), allowed);
+    m_errors.AddMissing(m_prefix + std::string(field), allowed);
     return;
   }
   const json::string* text = value->if_string();
   if (text == nullptr || text->empty() || text->size() > maxLength) {
-    Fault(field, *value, allowed);
+    AddError(field, *value, allowed);
     return;
   }
   target = std::string(View(*text));
@@ -179,14 +186,14 @@
 void SpecReader::Hash(std::string_view field, std::string& target)
 {
   constexpr std::string_view kAllowed = "the SHA-256 of the token as 64 lower-case hex digits";
-  const json::value* value = Take(field);
+  const json::value* value = Find(field);
   if (value == nullptr) {
-    m_faults.AddMissing(m_prefix + std::string(field), kAllowed);
+    m_errors.AddMissing(m_prefix + std::string(field), kAllowed);
     return;
   }
   const json::string* text = value->if_string();
-  if (text == nullptr || !IsHash(View(*text))) {
-    Fault(field, *value, kAllowed);
+  if (text == nullptr || !IsValidHash(View(*text))) {
+    AddError(field, *value, kAllowed);
     return;
   }
   target = std::string(View(*text));
@@ -194,15 +201,15 @@
 
 void SpecReader::Number(std::string_view field, std::uint32_t& target, Range<std::uint32_t> range)
 {
-  const json::value* value = Take(field);
+  const json::value* value = Find(field);
   if (value == nullptr) {
     return;
   }
-  const auto number = WholeIn(*value, range.low, range.high);
+  const auto number = IntegerInRange(*value, range.low, range.high);
   if (!number) {
-    Fault(field,
-          *value,
-          RangeText("a whole number", std::to_string(range.low), std::to_string(range.high)));
+    AddError(field,
+             *value,
+             RangeText("a whole number", std::to_string(range.low), std::to_string(range.high)));
     return;
   }
   target = static_cast<std::uint32_t>(*number);
@@ -210,13 +217,13 @@
 
 void SpecReader::Real(std::string_view field, double& target, Range<double> range)
 {
-  const json::value* value = Take(field);
+  const json::value* value = Find(field);
   if (value == nullptr) {
     return;
   }
   const auto number = AsReal(*value);
   if (!number || !(*number >= range.low && *number <= range.high)) {
-    Fault(field, *value, RangeText("a number", RealText(range.low), RealText(range.high)));
+    AddError(field, *value, RangeText("a number", RealText(range.low), RealText(range.high)));
     return;
   }
   target = *number;
@@ -224,15 +231,15 @@
 
 void SpecReader::Millis(std::string_view field, Duration& target, Range<Duration> range)
 {
-  const json::value* value = Take(field);
+  const json::value* value = Find(field);
   if (value == nullptr) {
     return;
   }
   const std::int64_t low = ToMillis(range.low);
   const std::int64_t high = ToMillis(range.high);
-  const auto number = WholeIn(*value, low, high);
+  const auto number = IntegerInRange(*value, low, high);
   if (!number) {
-    Fault(field, *value, RangeText("milliseconds", std::to_string(low), std::to_string(high)));
+    AddError(field, *value, RangeText("milliseconds", std::to_string(low), std::to_string(high)));
     return;
   }
   target = std::chrono::milliseconds(*number);
@@ -240,12 +247,12 @@
 
 void SpecReader::Flag(std::string_view field, bool& target)
 {
-  const json::value* value = Take(field);
+  const json::value* value = Find(field);
   if (value == nullptr) {
     return;
   }
   if (!value->is_bool()) {
-    Fault(field, *value, "true or false");
+    AddError(field, *value, "true or false");
     return;
   }
   target = value->get_bool();
@@ -253,17 +260,17 @@
 
 void SpecReader::Names(std::string_view field, std::vector<std::string>& target)
 {
-  const json::value* value = Take(field);
+  const json::value* value = Find(field);
   if (value == nullptr) {
     return;
   }
   const json::array* list = value->if_array();
-  const bool fits = list != nullptr && list->size() <= kMaxListLength &&
-                    std::all_of(list->begin(), list->end(), [](const json::value& name) {
-                      return name.is_string() && IsName(View(name.get_string()));
-                    });
-  if (!fits) {
-    Fault(field, *value, "a list of names, each " + std::string(kNameRule));
+  const bool valid = list != nullptr && list->size() <= kMaxListLength &&
+                     std::all_of(list->begin(), list->end(), [](const json::value& name) {
+                       return name.is_string() && IsValidName(View(name.get_string()));
+                     });
+  if (!valid) {
+    AddError(field, *value, "a list of names, each " + std::string(kNameRule));
     return;
   }
   target.clear();
@@ -277,20 +284,20 @@
   constexpr std::string_view kAllowed =
     "a list of {\"method\": upper-case letters or \"\", "
     "\"pathPrefix\": \"\" or \"/...\" of up to 1000 characters}";
-  const json::value* value = Take(field);
+  const json::value* value = Find(field);
   if (value == nullptr) {
     return;
   }
   const json::array* list = value->if_array();
   if (list == nullptr || list->size() > kMaxListLength) {
-    Fault(field, *value, kAllowed);
+    AddError(field, *value, kAllowed);
     return;
   }
   std::vector<NonRepeatableCall> calls;
   for (const json::value& item : *list) {
     auto call = ReadCall(item);
     if (!call) {
-      Fault(field, item, kAllowed);
+      AddError(field, item, kAllowed);
       return;
     }
     calls.push_back(std::move(*call));
@@ -298,7 +305,7 @@
   target = std::move(calls);
 }
 
-void SpecReader::RefuseUnknown()
+void SpecReader::RejectUnknown()
 {
   std::string known;
   for (const std::string& field : m_known) {
@@ -307,7 +314,7 @@
   for (const auto& field : m_json) {
     const std::string_view key(field.key().data(), field.key().size());
     if (!m_known.contains(key)) {
-      Fault(key, field.value(), "no such field; known are " + known);
+      AddError(key, field.value(), "no such field; known are " + known);
     }
   }
 }
--- a/src/catalogue/spec_reader.hpp
+++ b/src/catalogue/spec_reader.hpp
@@ -11,35 +11,35 @@
 
 namespace gooseberrysail::impl {
 
-/// \brief Whether a name may stand in the catalogue: letters, digits, `.`, `_` and `-`.
-[[nodiscard]] bool IsName(std::string_view text) noexcept;
+/// \brief Whether a text is a valid name in the catalogue; see kNameRule.
+[[nodiscard]] bool IsValidName(std::string_view text) noexcept;
 
 inline constexpr std::string_view kNameRule =
   "1 to 100 letters, digits, '.', '_' or '-', the first a letter or digit";
 
-/// \brief Gathers every fault of one entry.
-class Faults
+/// \brief Collects the validation errors of one entry.
+class ValidationErrors
 {
 public:
   void Add(std::string_view field, const boost::json::value& value, std::string_view allowed);
   void AddMissing(std::string_view field, std::string_view allowed);
   [[nodiscard]] bool Empty() const noexcept { return m_lines.empty(); }
-  /// \brief All faults, separated by "; ".
+  /// \brief All errors, separated by "; ".
   [[nodiscard]] std::string Text() const;
 
 private:
   std::vector<std::string> m_lines;
 };
 
-/// \brief Visits the fields of a specification and fills them from JSON; absent ones keep their
+/// \brief Visitor that fills the fields of a specification from JSON. Absent fields keep their
 /// defaults.
 class SpecReader
 {
 public:
-  SpecReader(const boost::json::object& json, std::string prefix, Faults& faults)
+  SpecReader(const boost::json::object& json, std::string prefix, ValidationErrors& errors)
     : m_json(json)
     , m_prefix(std::move(prefix))
-    , m_faults(faults)
+    , m_errors(errors)
   {
   }
 
@@ -52,20 +52,21 @@
   void Names(std::string_view field, std::vector<std::string>& target);
   void Calls(std::string_view field, std::vector<NonRepeatableCall>& target);
 
-  /// \brief Reports the fields that no call above asked for.
-  void RefuseUnknown();
+  /// \brief Adds an error for each JSON field that was not read by a call above.
+  void RejectUnknown();
 
 private:
-  const boost::json::value* Take(std::string_view field);
-  void Fault(std::string_view field, const boost::json::value& value, std::string_view allowed);
+  /// \brief Finds a field and marks it as known; null if it is absent.
+  const boost::json::value* Find(std::string_view field);
+  void AddError(std::string_view field, const boost::json::value& value, std::string_view allowed);
 
   const boost::json::object& m_json;
   std::string m_prefix;
-  Faults& m_faults;
+  ValidationErrors& m_errors;
   std::set<std::string, std::less<>> m_known;
 };
 
-/// \brief Visits the fields of a specification and writes each, in order.
+/// \brief Visitor that writes the fields of a specification to JSON, in order.
 class SpecWriter
 {
 public:
--- a/tests/unit/catalogue_codec_test.cpp
+++ b/tests/unit/catalogue_codec_test.cpp
@@ -18,7 +18,7 @@
   return item ? item.value() : wire::CatalogueItemT{};
 }
 
-std::string Refusal(const char* text)
+std::string ParseError(const char* text)
 {
   Result<wire::CatalogueItemT> item = ParseItemJson(boost::json::parse(text));
   return item ? "accepted" : item.error().description;
@@ -41,7 +41,7 @@
   R"({"kind":"model","name":"hire-assist","owner":"hire-desk","class":"interactive",
       "spec":{"version":"2026-11","replicas":30,"defaultDeadlineMs":90000}})";
 
-TEST(CatalogueCodec, AnEntryKeepsItsFieldsThroughEachForm)
+TEST(CatalogueCodec, AnEntryKeepsItsFieldsInEachForm)
 {
   const wire::CatalogueItemT item = Item(kModel);
   SECTION("the stored form is typed")
@@ -58,12 +58,12 @@
       EXPECT_EQ(PackEntry(entry.value()).spec, item.spec);
     }
   }
-  SECTION("what an operator reads may be written back")
+  SECTION("an entry can be written back in the form in which it was read")
   {
     const boost::json::value read = ItemToJson(item);
     EXPECT_EQ(Item(boost::json::serialize(read).c_str()).spec, item.spec);
   }
-  SECTION("a field that a newer program wrote is skipped, not fatal")
+  SECTION("a field written by a newer program is skipped")
   {
     wire::CatalogueItemT newer = item;
     newer.spec.insert(1, R"("colour":"red",)");
@@ -71,9 +71,9 @@
   }
 }
 
-TEST(CatalogueCodec, EveryFaultIsNamedAtOnceWithFieldValueAndRange)
+TEST(CatalogueCodec, AllErrorsAreReportedWithFieldValueAndRange)
 {
-  const std::string text = Refusal(
+  const std::string text = ParseError(
     R"({"kind":"model","name":"a b","class":"urgent","colour":1,
         "spec":{"replicas":-3,"membersPerReplica":65,"defaultDeadlineMs":"long","speed":9}})");
   EXPECT_THAT(text, HasSubstr("name is \"a b\", allowed: 1 to 100 letters"));
@@ -89,20 +89,22 @@
   EXPECT_THAT(text, HasSubstr("spec.speed is 9, allowed: no such field"));
 }
 
-TEST(CatalogueCodec, BadEntriesOfEachKindAreRefused)
+TEST(CatalogueCodec, InvalidEntriesOfEachKindAreRejected)
 {
-  EXPECT_THAT(Refusal("[]"), HasSubstr("entry is []"));
-  EXPECT_THAT(Refusal(R"({"kind":"server","name":"a","owner":"b"})"), HasSubstr("kind is"));
-  EXPECT_THAT(Refusal(R"({"kind":"workspace","name":"a","owner":"b","spec":{"tokenHash":"ab"}})"),
-              HasSubstr("spec.tokenHash is \"ab\""));
-  EXPECT_THAT(Refusal(R"({"kind":"service","name":"a","owner":"b",
+  EXPECT_THAT(ParseError("[]"), HasSubstr("entry is []"));
+  EXPECT_THAT(ParseError(R"({"kind":"server","name":"a","owner":"b"})"), HasSubstr("kind is"));
+  EXPECT_THAT(
+    ParseError(R"({"kind":"workspace","name":"a","owner":"b","spec":{"tokenHash":"ab"}})"),
+    HasSubstr("spec.tokenHash is \"ab\""));
+  EXPECT_THAT(ParseError(R"({"kind":"service","name":"a","owner":"b",
                           "spec":{"nonRepeatable":[{"method":"post"}]}})"),
               HasSubstr("spec.nonRepeatable"));
-  EXPECT_THAT(Refusal(R"({"kind":"target","name":"a","owner":"b","spec":{"draining":1}})"),
+  EXPECT_THAT(ParseError(R"({"kind":"target","name":"a","owner":"b","spec":{"draining":1}})"),
               HasSubstr("spec.draining is 1, allowed: true or false"));
-  EXPECT_THAT(Refusal(R"({"kind":"policy","name":"a","owner":"b","spec":{"downtimeWeight":1e99}})"),
-              HasSubstr("spec.downtimeWeight"));
-  EXPECT_THAT(Refusal(R"({"kind":"policy","name":"a","owner":"b","spec":7})"),
+  EXPECT_THAT(
+    ParseError(R"({"kind":"policy","name":"a","owner":"b","spec":{"downtimeWeight":1e99}})"),
+    HasSubstr("spec.downtimeWeight"));
+  EXPECT_THAT(ParseError(R"({"kind":"policy","name":"a","owner":"b","spec":7})"),
               HasSubstr("spec is 7, allowed: an object"));
 }
 
@@ -136,44 +138,45 @@
   EXPECT_EQ(catalogue.Policy().weightLoadsAtOnce, PolicySpec{}.weightLoadsAtOnce);
 }
 
-// Symptom: a drained target is in use again, a withdrawn token is admitted again.
-// Sequence: a process has version 9; a control that lags, or a frame that was held up, brings 8.
-// Cause: taking over whatever arrives last.
-TEST(Catalogue, VersionNeverGoesBack)
+// Symptom: a drained target is used again, or a revoked token is admitted again.
+// Sequence: a process has version 9 and receives version 8 from a lagging control process or in a
+// delayed frame.
+// Cause: applying each state that arrives, regardless of its version.
+TEST(Catalogue, VersionNeverDecreases)
 {
   Catalogue catalogue;
   ASSERT_TRUE(catalogue.Apply(State(9, 0, { Item(kModel) })));
-  SECTION("an older whole copy and an older delta are ignored")
+  SECTION("an older full copy and an older delta are ignored")
   {
-    const Result<bool> whole = catalogue.Apply(State(8, 0, {}));
-    ASSERT_TRUE(whole);
-    EXPECT_FALSE(whole.value());
-    wire::CatalogueItemT gone = Item(kModel);
-    gone.deleted = true;
-    const Result<bool> delta = catalogue.Apply(State(9, 7, { gone }));
+    const Result<bool> full = catalogue.Apply(State(8, 0, {}));
+    ASSERT_TRUE(full);
+    EXPECT_FALSE(full.value());
+    wire::CatalogueItemT removed = Item(kModel);
+    removed.deleted = true;
+    const Result<bool> delta = catalogue.Apply(State(9, 7, { removed }));
     ASSERT_TRUE(delta);
     EXPECT_FALSE(delta.value());
     EXPECT_NE(catalogue.FindModel(EntryName("hire-assist")), nullptr);
   }
-  SECTION("a delta with a gap before it is refused and changes nothing")
+  SECTION("a delta with a gap before it is rejected and changes nothing")
   {
     const Result<bool> gap = catalogue.Apply(State(12, 10, {}));
     ASSERT_FALSE(gap);
     EXPECT_EQ(gap.error().code, ErrorCode::kConflict);
     EXPECT_EQ(catalogue.Version(), LogIndex(9));
   }
-  SECTION("a copy with one bad item is refused whole")
+  SECTION("a copy with one invalid item is rejected as a whole")
   {
     wire::CatalogueItemT bad = Item(kModel);
     bad.spec = "{";
     EXPECT_FALSE(catalogue.Apply(State(10, 0, { bad })));
     EXPECT_EQ(catalogue.Version(), LogIndex(9));
   }
-  SECTION("a delta that follows is taken")
+  SECTION("a delta from the current version is applied")
   {
-    wire::CatalogueItemT gone = Item(kModel);
-    gone.deleted = true;
-    const Result<bool> delta = catalogue.Apply(State(10, 9, { gone }));
+    wire::CatalogueItemT removed = Item(kModel);
+    removed.deleted = true;
+    const Result<bool> delta = catalogue.Apply(State(10, 9, { removed }));
     ASSERT_TRUE(delta);
     EXPECT_TRUE(delta.value());
     EXPECT_EQ(catalogue.FindModel(EntryName("hire-assist")), nullptr);
