--- a/include/gooseberrysail/storage/control_store.hpp
+++ b/include/gooseberrysail/storage/control_store.hpp
@@ -17,34 +17,34 @@
   std::string folder;                    ///< Created when missing (its parent must exist).
   std::function<std::uint64_t()> random; ///< For the storage identity of a fresh folder.
   FileSystem files = RealFileSystem();
-  std::uint64_t segmentBytes = 8 * 1024 * 1024; ///< A log file is closed when it is larger.
+  std::uint64_t segmentBytes = 8 * 1024 * 1024; ///< A larger log file is closed.
 };
 
-/// \brief The synced files of one control process: identity, hard state, snapshot and log.
-/// \remarks Holds a lock on its folder until it is destroyed. After a failed write or sync it
-/// refuses everything: what the disk then holds is unknown until the folder is opened anew.
+/// \brief The persistent state of one control process: identity, hard state, snapshot and log.
+/// \remarks Holds a lock on its folder until it is destroyed. After a failed write or sync every
+/// further Persist fails, since the contents of the disk are unknown until the folder is reopened.
 class ControlStore
 {
 public:
-  /// \brief Locks the folder and reads what it holds.
-  /// \returns kConflict when another process holds the folder; kCorrupt, with file and offset in
-  /// Error::peer, when something synced earlier is damaged.
+  /// \brief Locks the folder and reads its contents.
+  /// \returns kConflict if another process has locked the folder; kCorrupt, with file and offset in
+  /// Error::peer, if data that had been synced is damaged.
   [[nodiscard]] static Result<ControlStore> Open(ControlStoreOptions options);
 
   ControlStore(ControlStore&&) noexcept;
   ControlStore& operator=(ControlStore&&) noexcept;
   ~ControlStore();
 
-  /// \brief What the folder held at Open; moved out on the first call.
+  /// \brief The contents of the folder at Open; the first call moves them out.
   [[nodiscard]] RecoveredLog TakeRecovered();
 
-  /// \brief Events of opening, such as a torn tail that was cut.
+  /// \brief Events that occurred in Open, such as the truncation of a torn tail.
   [[nodiscard]] const std::vector<EventOut>& OpenEvents() const noexcept;
 
-  /// \brief Writes and syncs; when it returns without error, all of it outlives a crash.
+  /// \brief Writes and syncs; if it returns no error, the data survives a crash.
   [[nodiscard]] Result<void> Persist(const ReadyOutput& ready);
 
-  /// \brief Bytes in all files, for metrics.
+  /// \brief Size of the log files and the snapshot in bytes, for metrics.
   [[nodiscard]] std::uint64_t UsedBytes() const;
 
 private:
--- a/include/gooseberrysail/storage/file_system.hpp
+++ b/include/gooseberrysail/storage/file_system.hpp
@@ -7,7 +7,7 @@
 
 namespace gooseberrysail {
 
-/// \brief The calls that make files last; tests replace them to let a disk fill or fail.
+/// \brief System calls for durable writes; tests replace them to simulate failing disks.
 /// \remarks Each returns 0 or an errno value.
 struct FileSystem
 {
@@ -17,7 +17,7 @@
   std::function<int(const std::string& folder)> syncFolder;
 };
 
-/// \brief write(2) until all is written, fdatasync(2), rename(2), fsync(2) of a folder.
+/// \brief Uses write(2) in a loop, fdatasync(2), rename(2), and fsync(2) of the folder.
 [[nodiscard]] FileSystem RealFileSystem();
 
 } // namespace gooseberrysail
--- a/src/storage/control_store.cpp
+++ b/src/storage/control_store.cpp
@@ -15,10 +15,10 @@
 using impl::FileHandle;
 using impl::FrameScan;
 using impl::ReadFile;
+using impl::RecoveredSegments;
 using impl::ReplaceFile;
 using impl::ScanFrames;
 using impl::Segments;
-using impl::SegmentsRead;
 
 namespace {
 
@@ -52,12 +52,12 @@
   return kSnapshotPrefix + std::string(20 - digits.size(), '0') + digits;
 }
 
-Error Damaged(const std::string& path, const char* what)
+Error CorruptFile(const std::string& path, const char* what)
 {
   return Error{ ErrorCode::kCorrupt, "read data folder", path + " offset 0", what };
 }
 
-bool Has(const std::vector<std::string>& names, const std::string& name)
+bool Contains(const std::vector<std::string>& names, const std::string& name)
 {
   return std::find(names.begin(), names.end(), name) != names.end();
 }
@@ -79,7 +79,7 @@
   [[nodiscard]] Result<void> ReadLog();
   [[nodiscard]] Result<std::vector<std::vector<std::uint8_t>>> ReadFrames(const std::string& name,
                                                                           std::size_t count) const;
-  [[nodiscard]] Result<void> PersistAll(const ReadyOutput& ready);
+  [[nodiscard]] Result<void> Write(const ReadyOutput& ready);
   [[nodiscard]] Result<void> WriteSnapshot(const RaftSnapshot& snapshot, bool replacesLog);
   void RemoveOldSnapshots(const std::string& kept);
 
@@ -107,7 +107,7 @@
   BOOST_OUTCOME_TRY(ReadHardState());
   BOOST_OUTCOME_TRY(ReadSnapshot());
   BOOST_OUTCOME_TRY(ReadLog());
-  // A rename that this life relies on may not be synced yet.
+  // An earlier process may have renamed a file and crashed before it synced the folder.
   if (const int error = options.files.syncFolder(options.folder); error != 0) {
     return impl::IoError("sync folder", options.folder, error);
   }
@@ -129,7 +129,7 @@
   BOOST_OUTCOME_TRY(const auto bytes, ReadFile(path));
   BOOST_OUTCOME_TRY(const FrameScan scan, ScanFrames(bytes, path, false));
   if (scan.payloads.size() != count) {
-    return Damaged(path, "the file is not whole");
+    return CorruptFile(path, "the file is incomplete");
   }
   std::vector<std::vector<std::uint8_t>> frames;
   for (const auto payload : scan.payloads) {
@@ -138,15 +138,15 @@
   return frames;
 }
 
-// The identity tells this disk from one that was wiped: it is drawn once and never again while
-// anything else is there.
+// The identity distinguishes this disk from a wiped one. It is created once, and never in a folder
+// that holds other data.
 Result<void> ControlStore::Impl::ReadIdentity()
 {
-  if (Has(names, kIdentityName)) {
+  if (Contains(names, kIdentityName)) {
     BOOST_OUTCOME_TRY(const auto frames, ReadFrames(kIdentityName, 1));
     const auto identity = FromBytes(frames[0]);
     if (!identity || *identity == 0) {
-      return Damaged(options.folder + "/" + kIdentityName, "not an identity");
+      return CorruptFile(options.folder + "/" + kIdentityName, "not a valid identity");
     }
     recovered.identity = StorageIdentity(*identity);
     return outcome::success();
@@ -156,10 +156,10 @@
            name.starts_with(kLogPrefix);
   });
   if (used) {
-    return Damaged(
+    return CorruptFile(
       options.folder + "/" + kIdentityName,
       "missing although the folder holds data; restore it, or empty the folder so that "
-      "the process joins anew");
+      "the process joins the cluster again");
   }
   const std::uint64_t drawn = std::max<std::uint64_t>(options.random(), 1);
   BOOST_OUTCOME_TRY(
@@ -173,13 +173,13 @@
 
 Result<void> ControlStore::Impl::ReadHardState()
 {
-  if (!Has(names, kHardStateName)) {
+  if (!Contains(names, kHardStateName)) {
     const bool used = std::any_of(names.begin(), names.end(), [](const std::string& name) {
       return name.starts_with(kSnapshotPrefix);
     });
     if (used) {
-      return Damaged(options.folder + "/" + kHardStateName,
-                     "missing although the folder holds data");
+      return CorruptFile(options.folder + "/" + kHardStateName,
+                         "missing although the folder holds data");
     }
     return outcome::success();
   }
@@ -193,7 +193,7 @@
   std::string newest;
   for (const std::string& name : names) {
     if (name.starts_with(kSnapshotPrefix)) {
-      newest = name; // Sorted: the last one has the highest index.
+      newest = name; // The names are sorted, so the last one has the highest index.
     }
   }
   if (newest.empty()) {
@@ -203,7 +203,7 @@
   const auto first = FromBytes(frames[0]);
   Result<RaftSnapshot> snapshot = DecodeSnapshot(frames[1]);
   if (!first || !snapshot) {
-    return Damaged(options.folder + "/" + newest, "not a snapshot");
+    return CorruptFile(options.folder + "/" + newest, "not a valid snapshot");
   }
   firstSegment = *first;
   snapshotBytes = frames[1].size();
@@ -215,7 +215,7 @@
 Result<void> ControlStore::Impl::ReadLog()
 {
   const std::uint64_t after = recovered.snapshot ? recovered.snapshot->index.Get() : 0;
-  BOOST_OUTCOME_TRY(SegmentsRead read, segments.Read(firstSegment, after, names));
+  BOOST_OUTCOME_TRY(RecoveredSegments read, segments.Read(firstSegment, after, names));
   recovered.entries = std::move(read.entries);
   if (!read.tornFile.empty()) {
     events.push_back(MakeEvent(EventNumber::kStorageTornTailCut,
@@ -224,14 +224,14 @@
                                  { "bytes", std::to_string(read.tornBytes) } }));
   }
   if (!recovered.entries.empty() && recovered.entries.back().term > recovered.hardState.term) {
-    return Damaged(options.folder + "/" + kHardStateName, "older than the log, or missing");
+    return CorruptFile(options.folder + "/" + kHardStateName, "older than the log, or missing");
   }
   return outcome::success();
 }
 
-// The hard state goes first: entries or a snapshot of a term that the disk doesn't know yet would
-// let the process vote a second time in that term after a crash.
-Result<void> ControlStore::Impl::PersistAll(const ReadyOutput& ready)
+// The hard state is written first. If entries or a snapshot of a term were stored before it, the
+// process could vote a second time in that term after a crash.
+Result<void> ControlStore::Impl::Write(const ReadyOutput& ready)
 {
   if (ready.hardState) {
     const auto frame = EncodeFrame(EncodeHardState(*ready.hardState));
@@ -246,8 +246,9 @@
   return outcome::success();
 }
 
-// The snapshot file names the first log file that counts. So one rename both brings the snapshot
-// into force and voids what it replaces; no crash can leave a new snapshot with an old log.
+// The snapshot file holds the number of the first valid log file. A single rename thus activates
+// the snapshot and invalidates the log files that it replaces, so that a crash can't leave a new
+// snapshot with an old log.
 Result<void> ControlStore::Impl::WriteSnapshot(const RaftSnapshot& snapshot, bool replacesLog)
 {
   BOOST_OUTCOME_TRY(segments.Roll());
@@ -311,10 +312,10 @@
   if (m_impl->failure) {
     return *m_impl->failure;
   }
-  Result<void> result = m_impl->PersistAll(ready);
+  Result<void> result = m_impl->Write(ready);
   if (!result) {
-    // Never tried again: after a failed sync the system may have dropped the pages that it could
-    // not write, and the next sync would succeed without them.
+    // Not retried: after a failed sync the kernel may have dropped the pages that it could not
+    // write, and the next sync would succeed without them.
     m_impl->failure = result.error();
   }
   return result;
--- a/src/storage/data_folder.cpp
+++ b/src/storage/data_folder.cpp
@@ -100,21 +100,21 @@
     return IoError("open file", path, errno);
   }
   std::vector<std::uint8_t> bytes(static_cast<std::size_t>(status.st_size));
-  std::size_t have = 0;
-  while (have < bytes.size()) {
-    const ssize_t got = ::read(file.Get(), bytes.data() + have, bytes.size() - have);
-    if (got < 0 && errno == EINTR) {
+  std::size_t total = 0;
+  while (total < bytes.size()) {
+    const ssize_t count = ::read(file.Get(), bytes.data() + total, bytes.size() - total);
+    if (count < 0 && errno == EINTR) {
       continue;
     }
-    if (got < 0) {
+    if (count < 0) {
       return IoError("read file", path, errno);
     }
-    if (got == 0) {
+    if (count == 0) {
       break;
     }
-    have += static_cast<std::size_t>(got);
+    total += static_cast<std::size_t>(count);
   }
-  bytes.resize(have);
+  bytes.resize(total);
   return bytes;
 }
 
@@ -143,7 +143,7 @@
   if (const int error = files.write(file.Get(), bytes); error != 0) {
     return IoError("write file", temporary, error);
   }
-  // Synced before the rename: the new name could otherwise outlive a crash without its contents.
+  // Synced before the rename: otherwise the new name could survive a crash without the contents.
   if (const int error = files.sync(file.Get()); error != 0) {
     return IoError("sync file", temporary, error);
   }
--- a/src/storage/data_folder.hpp
+++ b/src/storage/data_folder.hpp
@@ -10,7 +10,7 @@
 
 namespace gooseberrysail::impl {
 
-/// \brief An open file that closes itself.
+/// \brief Owns a file descriptor and closes it on destruction.
 class FileHandle
 {
 public:
@@ -32,26 +32,27 @@
 
 [[nodiscard]] Error IoError(const char* step, const std::string& path, int error);
 
+/// \brief Creates the folder if it does not exist.
 [[nodiscard]] Result<void> MakeFolder(const std::string& folder, const FileSystem& files);
 
-/// \brief Locks the folder for this process until the handle closes.
+/// \brief Locks the folder for this process until the handle is closed.
 [[nodiscard]] Result<FileHandle> LockFolder(const std::string& folder);
 
-/// \brief The names of plain files in it, sorted.
+/// \brief Returns the names of the entries in a folder, sorted.
 [[nodiscard]] Result<std::vector<std::string>> ListFiles(const std::string& folder);
 
 [[nodiscard]] Result<std::vector<std::uint8_t>> ReadFile(const std::string& path);
 
-/// \brief Opens for appending; `create` fails when the file exists.
+/// \brief Opens a file for appending. With `create` it must not exist yet.
 [[nodiscard]] Result<FileHandle> OpenForAppend(const std::string& path, bool create);
 
-/// \brief Replaces a file so that after a crash either the old or the new one is there, whole.
+/// \brief Replaces a file atomically: after a crash either the old or the new contents are there.
 [[nodiscard]] Result<void> ReplaceFile(const std::string& folder,
                                        const std::string& name,
                                        std::span<const std::uint8_t> bytes,
                                        const FileSystem& files);
 
-/// \brief Removes files that nothing refers to any more; what stays is tried again at next start.
+/// \brief Removes obsolete files. Errors are ignored; the next start tries again.
 void RemoveFiles(const std::string& folder, std::span<const std::string> names);
 
 } // namespace gooseberrysail::impl
--- a/src/storage/log_frames.cpp
+++ b/src/storage/log_frames.cpp
@@ -15,8 +15,8 @@
   std::uint32_t magic = 0;
   std::uint32_t length = 0;
   std::uint64_t payloadHash = 0;
-  /// Over the rest of the header: without it a damaged length of the last frame, which then points
-  /// past the end of the file, would look like an unfinished write.
+  /// Hash of the other header fields. Without it a corrupted length that points past the end of the
+  /// file would look like an incomplete write.
   std::uint64_t headerHash = 0;
 };
 static_assert(sizeof(FrameHeader) == kFrameHeaderBytes);
@@ -31,7 +31,7 @@
   return XXH3_64bits(&header, offsetof(FrameHeader, headerHash));
 }
 
-bool IsIntact(const FrameHeader& header)
+bool IsValidHeader(const FrameHeader& header)
 {
   return header.magic == kMagic && HeaderHash(header) == header.headerHash;
 }
@@ -43,29 +43,29 @@
   return header;
 }
 
-bool IsWholeFrame(std::span<const std::uint8_t> bytes)
+bool IsValidFrame(std::span<const std::uint8_t> bytes)
 {
   if (bytes.size() < kFrameHeaderBytes) {
     return false;
   }
   const FrameHeader header = ReadHeader(bytes);
-  if (!IsIntact(header) || header.length > bytes.size() - kFrameHeaderBytes) {
+  if (!IsValidHeader(header) || header.length > bytes.size() - kFrameHeaderBytes) {
     return false;
   }
   return HashOf(bytes.subspan(kFrameHeaderBytes, header.length)) == header.payloadHash;
 }
 
-bool HasWholeFrameAfter(std::span<const std::uint8_t> file, std::size_t offset)
+bool HasValidFrameAfter(std::span<const std::uint8_t> file, std::size_t offset)
 {
   for (std::size_t at = offset + 1; at + kFrameHeaderBytes <= file.size(); ++at) {
-    if (IsWholeFrame(file.subspan(at))) {
+    if (IsValidFrame(file.subspan(at))) {
       return true;
     }
   }
   return false;
 }
 
-// A file can have grown to its new size before its sectors were written; those then read as zeros.
+// After a crash a file can have its new size while some sectors were not written and read as zeros.
 bool HasUnwrittenSector(std::span<const std::uint8_t> file, std::size_t offset)
 {
   for (std::size_t start = offset; start < file.size();) {
@@ -79,12 +79,12 @@
   return false;
 }
 
-// Only one frame can be unfinished, for each is synced before the next one is written: so nothing
-// whole may follow it, and it is either too short or lacks whole sectors. Anything else was synced
-// and was damaged later. Cutting that off would silently take back acknowledged changes.
-bool LooksTorn(std::span<const std::uint8_t> file, std::size_t offset)
+// Each frame is synced before the next one is written, so only the last one can be incomplete: no
+// valid frame follows it, and it is either too short or has unwritten sectors. Any other invalid
+// frame was synced and damaged later; truncating it would silently lose acknowledged changes.
+bool IsTornTail(std::span<const std::uint8_t> file, std::size_t offset)
 {
-  if (HasWholeFrameAfter(file, offset)) {
+  if (HasValidFrameAfter(file, offset)) {
     return false;
   }
   const auto rest = file.subspan(offset);
@@ -92,7 +92,7 @@
     return true;
   }
   const FrameHeader header = ReadHeader(rest);
-  const bool tooShort = IsIntact(header) && header.length > rest.size() - kFrameHeaderBytes;
+  const bool tooShort = IsValidHeader(header) && header.length > rest.size() - kFrameHeaderBytes;
   return tooShort || HasUnwrittenSector(file, offset);
 }
 
@@ -114,23 +114,23 @@
                              bool mayBeTorn)
 {
   FrameScan scan;
-  while (scan.wholeBytes < file.size()) {
-    const auto rest = file.subspan(scan.wholeBytes);
-    if (IsWholeFrame(rest)) {
+  while (scan.validBytes < file.size()) {
+    const auto rest = file.subspan(scan.validBytes);
+    if (IsValidFrame(rest)) {
       const std::uint32_t length = ReadHeader(rest).length;
       scan.payloads.push_back(rest.subspan(kFrameHeaderBytes, length));
-      scan.wholeBytes += kFrameHeaderBytes + length;
+      scan.validBytes += kFrameHeaderBytes + length;
       continue;
     }
-    if (mayBeTorn && LooksTorn(file, scan.wholeBytes)) {
+    if (mayBeTorn && IsTornTail(file, scan.validBytes)) {
       scan.torn = true;
       return scan;
     }
     return Error{ ErrorCode::kCorrupt,
                   "read data folder",
-                  path + " offset " + std::to_string(scan.wholeBytes),
-                  "a record that had been synced is damaged; restore this disk or let the process "
-                  "join anew with an empty data folder" };
+                  path + " offset " + std::to_string(scan.validBytes),
+                  "a synced record is damaged; restore this disk or let the process join again "
+                  "with an empty data folder" };
   }
   return scan;
 }
--- a/src/storage/log_frames.hpp
+++ b/src/storage/log_frames.hpp
@@ -7,14 +7,14 @@
 #include <string>
 #include <vector>
 
-/// \file Frames: length, checksum and payload. A log file is a row of frames, one for each sync;
-/// the small files are one frame each.
+/// \file Frames of length, checksums and payload. A log file is a sequence of frames, one per sync.
+/// The identity and hard-state files have one frame, a snapshot file has two.
 
 namespace gooseberrysail::impl {
 
 inline constexpr std::size_t kFrameHeaderBytes = 24;
 
-/// \brief Bytes that a disk writes whole or not at all.
+/// \brief Size of the unit that a disk writes atomically.
 inline constexpr std::size_t kSectorBytes = 512;
 
 [[nodiscard]] std::vector<std::uint8_t> EncodeFrame(std::span<const std::uint8_t> payload);
@@ -22,13 +22,13 @@
 struct FrameScan
 {
   std::vector<std::span<const std::uint8_t>> payloads;
-  std::size_t wholeBytes = 0; ///< Where the last whole frame ends.
-  bool torn = false;          ///< After it lies the start of a frame whose write had not finished.
+  std::size_t validBytes = 0; ///< End of the last valid frame.
+  bool torn = false;          ///< An incompletely written frame follows.
 };
 
 /// \brief Reads all frames of a file.
-/// \param mayBeTorn The file is the last one written: its end may be an unfinished write.
-/// \returns kCorrupt, with file and offset, when a frame is damaged that had been synced.
+/// \param mayBeTorn Whether the file is the last one written, so that its end may be incomplete.
+/// \returns kCorrupt, with file and offset, if a synced frame is damaged.
 [[nodiscard]] Result<FrameScan> ScanFrames(std::span<const std::uint8_t> file,
                                            const std::string& path,
                                            bool mayBeTorn);
--- a/src/storage/segments.cpp
+++ b/src/storage/segments.cpp
@@ -34,13 +34,14 @@
   return sequence;
 }
 
-Error Missing(const std::string& path, const std::string& what)
+Error CorruptLog(const std::string& path, const std::string& what)
 {
   return Error{ ErrorCode::kCorrupt, "read data folder", path, what };
 }
 
-/// \returns Whether the entry follows what is there; it replaces what stands at or after its index.
-bool TakeEntry(std::vector<LogRecord>& entries, std::uint64_t snapshotIndex, LogRecord entry)
+/// Adds an entry and drops those at or after its index.
+/// \returns False if entries before it are missing.
+bool InsertEntry(std::vector<LogRecord>& entries, std::uint64_t snapshotIndex, LogRecord entry)
 {
   const std::uint64_t index = entry.index.Get();
   if (index <= snapshotIndex) {
@@ -70,9 +71,9 @@
   return m_folder + "/" + NameOf(sequence);
 }
 
-Result<SegmentsRead> Segments::Read(std::uint64_t first,
-                                    std::uint64_t snapshotIndex,
-                                    const std::vector<std::string>& names)
+Result<RecoveredSegments> Segments::Read(std::uint64_t first,
+                                         std::uint64_t snapshotIndex,
+                                         const std::vector<std::string>& names)
 {
   std::vector<std::uint64_t> sequences;
   std::vector<std::string> stale;
@@ -85,11 +86,11 @@
     }
   }
   RemoveFiles(m_folder, stale);
-  SegmentsRead read;
+  RecoveredSegments read;
   std::uint64_t expected = first;
   for (const std::uint64_t sequence : sequences) {
     if (sequence != expected) {
-      return Missing(PathOf(expected), "this log file is missing; later ones are there");
+      return CorruptLog(PathOf(expected), "this log file is missing, but later ones exist");
     }
     ++expected;
     BOOST_OUTCOME_TRY(ReadSegment(sequence, snapshotIndex, sequence == sequences.back(), read));
@@ -106,39 +107,39 @@
 Result<void> Segments::ReadSegment(std::uint64_t sequence,
                                    std::uint64_t snapshotIndex,
                                    bool last,
-                                   SegmentsRead& read)
+                                   RecoveredSegments& read)
 {
   const std::string path = PathOf(sequence);
   BOOST_OUTCOME_TRY(const auto bytes, ReadFile(path));
   BOOST_OUTCOME_TRY(const FrameScan scan, ScanFrames(bytes, path, last));
   Segment& segment = m_segments[sequence];
-  segment.bytes = scan.wholeBytes;
+  segment.bytes = scan.validBytes;
   for (const auto payload : scan.payloads) {
     const std::string place =
       path + " offset " + std::to_string(payload.data() - bytes.data() - kFrameHeaderBytes);
     Result<std::vector<LogRecord>> batch = DecodeLogBatch(payload);
     if (!batch) {
-      return Missing(place, "a log record cannot be read");
+      return CorruptLog(place, "a log record cannot be decoded");
     }
     for (LogRecord& entry : batch.value()) {
       segment.highest = std::max(segment.highest, entry.index.Get());
       const std::string index = std::to_string(entry.index.Get());
-      if (!TakeEntry(read.entries, snapshotIndex, std::move(entry))) {
-        return Missing(place, "entries before index " + index + " are missing");
+      if (!InsertEntry(read.entries, snapshotIndex, std::move(entry))) {
+        return CorruptLog(place, "entries before index " + index + " are missing");
       }
     }
   }
   if (scan.torn) {
     read.tornFile = path;
-    read.tornOffset = scan.wholeBytes;
-    read.tornBytes = bytes.size() - scan.wholeBytes;
+    read.tornOffset = scan.validBytes;
+    read.tornBytes = bytes.size() - scan.validBytes;
   }
   if (last) {
-    // Written anew rather than merely cut: what can be read now may still be only in memory, from
-    // a life that ended before its sync or whose sync failed. A second sync of the same pages may
-    // then report success without having written them.
-    const auto whole = std::span(bytes).first(scan.wholeBytes);
-    return ReplaceFile(m_folder, NameOf(sequence), whole, m_files);
+    // Rewritten instead of truncated: the contents may exist only in the page cache if an earlier
+    // process ended before its sync or its sync failed. Another sync of the same pages could then
+    // succeed without having written them.
+    const auto valid = std::span(bytes).first(scan.validBytes);
+    return ReplaceFile(m_folder, NameOf(sequence), valid, m_files);
   }
   return outcome::success();
 }
@@ -148,7 +149,7 @@
   BOOST_OUTCOME_TRY(m_file, OpenForAppend(PathOf(sequence), true));
   m_segments[sequence] = {};
   m_current = sequence;
-  // Without it the file's name could be gone after a crash although its contents were synced.
+  // Otherwise the directory entry could be lost in a crash although the contents were synced.
   if (const int error = m_files.syncFolder(m_folder); error != 0) {
     return IoError("sync folder", m_folder, error);
   }
--- a/src/storage/segments.hpp
+++ b/src/storage/segments.hpp
@@ -10,33 +10,34 @@
 
 namespace gooseberrysail::impl {
 
-/// \brief What reading the log files gave.
-struct SegmentsRead
+/// \brief The result of reading the log files.
+struct RecoveredSegments
 {
-  std::vector<LogRecord> entries; ///< Those after the snapshot.
-  std::string tornFile;           ///< "" when the log ended cleanly.
+  std::vector<LogRecord> entries; ///< The entries after the snapshot.
+  std::string tornFile;           ///< Empty if the log has no torn tail.
   std::uint64_t tornOffset = 0;
   std::uint64_t tornBytes = 0;
 };
 
-/// \brief The log: append-only files `log-<sequence>`.
-/// \remarks An entry in a later frame replaces what stands at or after its index in earlier ones,
-/// so nothing is ever overwritten in place.
+/// \brief The log, stored in append-only files `log-<sequence>`.
+/// \remarks An entry replaces all entries at or after its index in earlier frames, so that nothing
+/// is overwritten in place.
 class Segments
 {
 public:
   Segments(std::string folder, FileSystem files, std::uint64_t segmentBytes);
 
-  /// \param first The first file that counts; earlier ones are void.
-  /// \param snapshotIndex Entries up to here are not needed.
-  [[nodiscard]] Result<SegmentsRead> Read(std::uint64_t first,
-                                          std::uint64_t snapshotIndex,
-                                          const std::vector<std::string>& names);
+  /// \brief Reads the log files and removes those before `first`.
+  /// \param first The first valid file.
+  /// \param snapshotIndex Entries up to this index are not needed.
+  [[nodiscard]] Result<RecoveredSegments> Read(std::uint64_t first,
+                                               std::uint64_t snapshotIndex,
+                                               const std::vector<std::string>& names);
 
-  /// \brief Writes and syncs.
+  /// \brief Writes the entries and syncs the file.
   [[nodiscard]] Result<void> Append(std::span<const LogRecord> entries);
 
-  /// \brief Starts the next file, unless the last one is still empty.
+  /// \brief Starts the next file, unless the current one is empty.
   [[nodiscard]] Result<void> Roll();
 
   /// \returns The first file that holds entries after `index`.
@@ -52,14 +53,14 @@
   struct Segment
   {
     std::uint64_t bytes = 0;
-    std::uint64_t highest = 0; ///< Highest index in it.
+    std::uint64_t highest = 0; ///< Highest index in the file.
   };
 
   [[nodiscard]] Result<void> StartSegment(std::uint64_t sequence);
   [[nodiscard]] Result<void> ReadSegment(std::uint64_t sequence,
                                          std::uint64_t snapshotIndex,
                                          bool last,
-                                         SegmentsRead& read);
+                                         RecoveredSegments& read);
   [[nodiscard]] std::string PathOf(std::uint64_t sequence) const;
 
   std::string m_folder;
--- a/tests/unit/storage_control_store_test.cpp
+++ b/tests/unit/storage_control_store_test.cpp
@@ -82,7 +82,7 @@
   file.put(static_cast<char>(before ^ 0x10));
 }
 
-// Three synced records in one log file; returns the offset at which each ends.
+// Writes and syncs three records to one log file; returns the offsets of their ends.
 std::vector<std::uint64_t> WriteThreeRecords(const std::string& folder)
 {
   Result<ControlStore> store = OpenStore(folder);
@@ -98,24 +98,24 @@
 {
   const TemporaryFolder folder;
   const std::string path = folder.Path() + "/data";
-  SECTION("a fresh folder gets an identity")
+  SECTION("a new folder gets an identity")
   {
     Result<ControlStore> store = OpenStore(path);
     ASSERT_TRUE(store) << store.error();
     EXPECT_EQ(store.value().TakeRecovered().identity, StorageIdentity(kIdentity));
     ASSERT_TRUE(store.value().Persist(WithEntries({ MakeEntry(1, 1), MakeEntry(2, 1) })));
-    SECTION("which no other process may use meanwhile")
+    SECTION("the folder cannot be opened a second time")
     {
       const Result<ControlStore> second = OpenStore(path);
       ASSERT_FALSE(second);
       EXPECT_EQ(second.error().code, ErrorCode::kConflict);
     }
-    SECTION("and entries from another leader replace the tail")
+    SECTION("entries from another leader replace the tail")
     {
       ASSERT_TRUE(store.value().Persist(WithEntries({ MakeEntry(2, 3), MakeEntry(3, 3) })));
     }
   }
-  SECTION("opened again")
+  SECTION("reopened")
   {
     Result<ControlStore> store = OpenStore(path);
     ASSERT_TRUE(store) << store.error();
@@ -127,11 +127,11 @@
   }
 }
 
-TEST(StorageControlStore, ATornTailIsCutAtEveryByte)
+TEST(StorageControlStore, ATornTailIsTruncatedAtEveryByte)
 {
-  // Symptom: control refuses to start after a power cut, or starts with half a record.
-  // Sequence: the machine stops while a record is being written, after any number of its bytes.
-  // Cause: the last record has no whole checksum; it was never acknowledged.
+  // Symptom: control fails to start after a power failure, or starts with a partial record.
+  // Sequence: the machine stops after any number of bytes of a record has been written.
+  // Cause: the incomplete last record, which was never acknowledged, has no valid checksum.
   const TemporaryFolder folder;
   const std::string whole = folder.Path() + "/whole";
   const std::vector<std::uint64_t> ends = WriteThreeRecords(whole);
@@ -146,12 +146,12 @@
       Result<ControlStore> store = OpenStore(path);
       ASSERT_TRUE(store) << store.error();
       EXPECT_EQ(store.value().TakeRecovered().entries.size(), 2U);
-      const bool told = store.value().OpenEvents().front().number ==
-                        static_cast<std::uint32_t>(EventNumber::kStorageTornTailCut);
-      EXPECT_EQ(told, size != ends[1]);
+      const bool reported = store.value().OpenEvents().front().number ==
+                            static_cast<std::uint32_t>(EventNumber::kStorageTornTailCut);
+      EXPECT_EQ(reported, size != ends[1]);
       ASSERT_TRUE(store.value().Persist(WithEntries({ MakeEntry(3, 2) })));
     }
-    SECTION("and it goes on from there")
+    SECTION("reopened, it has the entry that was appended after the truncation")
     {
       Result<ControlStore> store = OpenStore(path);
       ASSERT_TRUE(store) << store.error();
@@ -160,10 +160,10 @@
   }
 }
 
-TEST(StorageControlStore, ATailWhoseSectorsWereNotWrittenIsCut)
+TEST(StorageControlStore, ATailWithUnwrittenSectorsIsTruncated)
 {
-  // Symptom: control refuses to start after a power cut.
-  // Sequence: the file had grown to its new size, but its last sectors were not written.
+  // Symptom: control fails to start after a power failure.
+  // Sequence: the file has its new size, but its last sectors were not written.
   // Cause: size and contents reach the disk separately; the missing part reads as zeros.
   const TemporaryFolder folder;
   const std::string path = folder.Path() + "/data";
@@ -183,11 +183,11 @@
   EXPECT_EQ(store.value().TakeRecovered().entries, std::vector{ MakeEntry(1, 1) });
 }
 
-TEST(StorageControlStore, DamageToWhatWasSyncedIsRefusedWithFileAndOffset)
+TEST(StorageControlStore, DamagedSyncedRecordsAreReportedWithFileAndOffset)
 {
-  // Symptom: acknowledged changes are silently gone after a disk flipped a bit.
+  // Symptom: acknowledged changes are silently lost after a bit flip on the disk.
   // Sequence: any byte of a synced record changes; control starts.
-  // Cause: taking every bad checksum for a torn tail.
+  // Cause: treating every invalid checksum as a torn tail.
   const TemporaryFolder folder;
   const std::string whole = folder.Path() + "/whole";
   const std::vector<std::uint64_t> ends = WriteThreeRecords(whole);
@@ -208,7 +208,7 @@
   }
 }
 
-TEST(StorageControlStore, AnyOtherDamageIsRefusedToo)
+TEST(StorageControlStore, OtherDamageIsReported)
 {
   const TemporaryFolder folder;
   const std::string path = folder.Path() + "/data";
@@ -222,17 +222,17 @@
   const std::vector<std::string> logs = FilesWithPrefix(path, "log-");
   ASSERT_GE(logs.size(), 3U);
   const std::string snapshot = FilesWithPrefix(path, "snapshot-").front();
-  const auto refusedWithout = [&](const std::string& file) {
-    const std::string away = folder.Path() + "/away";
-    std::filesystem::rename(file, away);
+  const auto isCorruptWithout = [&](const std::string& file) {
+    const std::string moved = folder.Path() + "/moved";
+    std::filesystem::rename(file, moved);
     const Result<ControlStore> store = OpenStore(path);
-    std::filesystem::rename(away, file);
+    std::filesystem::rename(moved, file);
     return !store && store.error().code == ErrorCode::kCorrupt;
   };
-  EXPECT_TRUE(refusedWithout(path + "/identity"));
-  EXPECT_TRUE(refusedWithout(path + "/hard-state"));
-  EXPECT_TRUE(refusedWithout(snapshot)) << "entries before the log are missing";
-  EXPECT_TRUE(refusedWithout(logs[1]));
+  EXPECT_TRUE(isCorruptWithout(path + "/identity"));
+  EXPECT_TRUE(isCorruptWithout(path + "/hard-state"));
+  EXPECT_TRUE(isCorruptWithout(snapshot)) << "entries before the log are missing";
+  EXPECT_TRUE(isCorruptWithout(logs[1]));
   for (const std::string& file : { path + "/identity", path + "/hard-state", snapshot }) {
     FlipByte(file, std::filesystem::file_size(file) / 2);
     const Result<ControlStore> store = OpenStore(path);
@@ -240,15 +240,15 @@
     ASSERT_FALSE(store) << file;
     EXPECT_TRUE(store.error().peer.starts_with(file)) << store.error();
   }
-  EXPECT_TRUE(OpenStore(path)) << "whole again";
+  EXPECT_TRUE(OpenStore(path)) << "undamaged";
 }
 
-TEST(StorageControlStore, ASnapshotThatReplacesTheLogVoidsItAtOnce)
+TEST(StorageControlStore, ASnapshotReplacesTheLogAtomically)
 {
-  // Symptom: after a restart a process has entries of a history that its snapshot replaced.
-  // Sequence: a lagging process with a differing tail takes the leader's snapshot and is killed at
-  // any write or sync of that.
-  // Cause: the snapshot and the removal of the log are two steps.
+  // Symptom: after a restart a process still has entries that its snapshot replaced.
+  // Sequence: a lagging process with a conflicting tail installs the leader's snapshot and is
+  // killed at any of the writes and syncs.
+  // Cause: storing the snapshot and removing the log are two steps.
   bool finished = false;
   for (int allowed = 0; !finished; ++allowed) {
     const TemporaryFolder folder;
@@ -289,8 +289,8 @@
   }
 }
 
-// Appends entries and tells each synced index through the pipe until it is killed.
-[[noreturn]] void AppendForEver(const std::string& folder, int told)
+// Appends entries and writes each synced index to the pipe until the process is killed.
+[[noreturn]] void AppendForever(const std::string& folder, int reported)
 {
   Result<ControlStore> store = OpenStore(folder, RealFileSystem(), 2000);
   if (!store) {
@@ -300,17 +300,17 @@
   for (;;) {
     ++index;
     if (!store.value().Persist(WithEntries({ MakeEntry(index, 1) })) ||
-        ::write(told, &index, sizeof index) != sizeof index) {
+        ::write(reported, &index, sizeof index) != sizeof index) {
       ::_exit(1);
     }
   }
 }
 
-TEST(StorageControlStore, KillNineLosesNothingThatWasAcknowledged)
+TEST(StorageControlStore, SigkillLosesNoAcknowledgedChanges)
 {
-  // Symptom: a change that was acknowledged is gone after kill -9.
-  // Sequence: a process writes as fast as it can and is killed; the folder is opened; six times.
-  // Cause: acknowledging before the record is written, or a lock that outlives its process.
+  // Symptom: an acknowledged change is lost after SIGKILL.
+  // Sequence: six times, a process that writes continuously is killed and the folder is reopened.
+  // Cause: acknowledging before the record is written, or a lock that remains after its process.
   const TemporaryFolder folder;
   const std::string path = folder.Path() + "/data";
   std::uint64_t acknowledged = 0;
@@ -319,10 +319,10 @@
     ASSERT_EQ(::pipe(pipe.data()), 0);
     const pid_t child = ::fork();
     if (child == 0) {
-      AppendForEver(path, pipe[1]);
+      AppendForever(path, pipe[1]);
     }
     ::close(pipe[1]);
-    for (int told = 0; told < 5 + 3 * round; ++told) {
+    for (int reported = 0; reported < 5 + 3 * round; ++reported) {
       ASSERT_EQ(::read(pipe[0], &acknowledged, sizeof acknowledged),
                 static_cast<ssize_t>(sizeof acknowledged));
     }
@@ -355,12 +355,12 @@
   EXPECT_LT(store.value().UsedBytes(), 4000U);
 }
 
-TEST(StorageControlStore, AgreesWithAModelThroughRandomKills)
+TEST(StorageControlStore, MatchesAModelThroughRandomFailures)
 {
-  // Symptom: after a kill a folder holds something else than before or after the last write.
-  // Sequence: random appends, replaced tails and snapshots; one call in 40 fails half-way and the
-  // process starts again.
-  // Cause: any step that leaves a state between "before" and "after".
+  // Symptom: after a crash a folder holds neither the state before nor after the last write.
+  // Sequence: random appends, replaced tails and snapshots; one call in 40 fails, writes after a
+  // part of their bytes, and the store is reopened.
+  // Cause: any step that leaves an intermediate state.
   std::mt19937_64 random(7);
   bool armed = false;
   const auto fails = [&] { return armed && random() % 40 == 0; };
@@ -379,10 +379,10 @@
   const TemporaryFolder folder;
   const std::string path = folder.Path() + "/data";
   std::optional<ControlStore> store(OpenStore(path, files, 500).value());
-  std::vector<LogRecord> model; // Entry i+1 at place i, whether compacted or not.
+  std::vector<LogRecord> model; // Entry i+1 at position i, also if it was compacted away.
   std::uint64_t compacted = 0;
   std::uint64_t term = 1;
-  int kills = 0;
+  int failures = 0;
   for (int step = 0; step < 1500; ++step) {
     std::vector<LogRecord> next = model;
     ReadyOutput ready;
@@ -410,7 +410,7 @@
       compacted = ready.persistSnapshot ? ready.persistSnapshot->index.Get() : compacted;
       continue;
     }
-    ++kills;
+    ++failures;
     store.reset();
     Result<ControlStore> opened = OpenStore(path, files, 500);
     ASSERT_TRUE(opened) << "step " << step << ": " << opened.error();
@@ -426,7 +426,7 @@
     ASSERT_TRUE(before || after) << "step " << step;
     model = before ? model : next;
   }
-  EXPECT_GT(kills, 50);
+  EXPECT_GT(failures, 50);
 }
 
 } // namespace
