--- a/include/gooseberrysail/consensus/log_types.hpp
+++ b/include/gooseberrysail/consensus/log_types.hpp
@@ -10,19 +10,19 @@
 #include <string>
 #include <vector>
 
-/// \file What the replicated log consists of, shared by the decisions (RaftNode) and the files
+/// \file The types of the replicated log, shared by the protocol (RaftNode) and its storage
 /// (ControlStore).
 
 namespace gooseberrysail {
 
-/// \brief Names one disk: drawn at random when a data folder is first used, so a wiped disk shows.
+/// \brief Random identity of a disk, drawn when its data folder is created; detects wiped disks.
 using StorageIdentity = impl::StrongId<struct StorageIdentityTag, std::uint64_t>;
 
 enum class LogEntryKind : std::uint8_t
 {
-  kCommand = 0,    ///< Bytes for the applied state.
-  kMembership = 1, ///< An encoded Membership; in force as soon as it is appended.
-  kLeaderStart = 2 ///< A new leader's first entry: lets it commit what its predecessors left.
+  kCommand = 0,    ///< A command for the state machine.
+  kMembership = 1, ///< An encoded Membership; takes effect once it is appended.
+  kLeaderStart = 2 ///< A new leader's first entry; it commits entries of earlier terms.
 };
 
 struct LogRecord
@@ -40,14 +40,14 @@
 {
   ProcessId process;
   StorageIdentity identity;
-  bool voter = false; ///< false: a learner, which receives the log but doesn't count.
+  bool voter = false; ///< false: a learner, which receives the log but has no vote.
 
   friend bool operator==(const Member&, const Member&) = default;
 };
 
 struct Membership
 {
-  std::uint64_t cluster = 0; ///< The founder's identity at the founding.
+  std::uint64_t cluster = 0; ///< Identity of the founder's disk when it founded the cluster.
   std::vector<Member> members;
 
   [[nodiscard]] const Member* Find(const ProcessId& process) const noexcept;
@@ -56,7 +56,7 @@
   friend bool operator==(const Membership&, const Membership&) = default;
 };
 
-/// \brief The applied state up to an index, which stands for the log up to there.
+/// \brief The applied state at an index; it replaces the log up to that index.
 struct RaftSnapshot
 {
   LogIndex index;
@@ -65,23 +65,23 @@
   std::vector<std::uint8_t> state;
 };
 
-/// \brief What a voter has promised; must be synced before any message that relies on it.
+/// \brief A voter's persistent state; must be synced before any message that relies on it is sent.
 struct HardState
 {
   Term term;
-  ProcessId vote;            ///< Whom it voted for in `term`; none when nobody.
-  std::uint64_t cluster = 0; ///< The cluster it first heard from; 0: none yet.
+  ProcessId vote;            ///< The candidate that it voted for in `term`, if any.
+  std::uint64_t cluster = 0; ///< The cluster that it belongs to; 0: none yet.
 
   friend bool operator==(const HardState&, const HardState&) = default;
 };
 
-/// \brief All that a data folder held at start.
+/// \brief The contents of a data folder at start.
 struct RecoveredLog
 {
   StorageIdentity identity;
   HardState hardState;
   std::shared_ptr<const RaftSnapshot> snapshot;
-  std::vector<LogRecord> entries; ///< Those after the snapshot, without gaps.
+  std::vector<LogRecord> entries; ///< The entries after the snapshot, without gaps.
 };
 
 [[nodiscard]] std::vector<std::uint8_t> EncodeMembership(const Membership& membership);
--- a/include/gooseberrysail/consensus/raft_node.hpp
+++ b/include/gooseberrysail/consensus/raft_node.hpp
@@ -18,26 +18,27 @@
 struct RaftSettings
 {
   ProcessId self;
-  /// \brief Every configured control process, this one among them; with `wantedVoters` only those
-  /// that found the cluster.
+  /// \brief All configured control processes, including this one; if `wantedVoters` is set, only
+  /// those that found the cluster.
   std::vector<ProcessId> voters;
-  /// \brief 0: the members are the configured processes. Otherwise any process that proved itself
-  /// may join, and takes the vote of one that fell silent once this many vote.
+  /// \brief 0: the members are the configured processes. Otherwise any authenticated process may
+  /// join; once there are this many voters, it can only replace one that no longer responds.
   std::size_t wantedVoters = 0;
-  /// \brief Whether this start may found a cluster; false where the whole was started before.
+  /// \brief Whether this process may found a cluster; false if the cluster was founded before.
   bool mayFound = true;
-  /// \brief Silence after which a voter's place may go to a process that waits for one.
+  /// \brief Time without a reply after which a caught-up learner may replace a voter.
   Duration replaceAfter = std::chrono::seconds(2);
   Duration heartbeat = std::chrono::milliseconds(200);
-  /// \brief Silence of the leader before an election; drawn anew between this and twice this.
+  /// \brief Time without a message from the leader before an election; each timeout is drawn
+  /// at random between this value and twice this value.
   Duration electionTimeout = std::chrono::milliseconds(1000);
   std::size_t maxCommandBytes = 4 * 1024 * 1024;
-  std::size_t maxAppendBytes = 256 * 1024;        ///< Entries in one message, unless one is larger.
-  std::size_t maxInFlight = 32;                   ///< Unanswered appends to one peer.
-  std::size_t maxBacklogBytes = 16 * 1024 * 1024; ///< Proposed and not yet committed.
+  std::size_t maxAppendBytes = 256 * 1024;        ///< Per message, unless one entry is larger.
+  std::size_t maxInFlight = 32;                   ///< Unacknowledged appends to one peer.
+  std::size_t maxBacklogBytes = 16 * 1024 * 1024; ///< Proposed but uncommitted entries.
   std::size_t snapshotChunkBytes = 256 * 1024;
   std::uint64_t snapshotEvery = 256; ///< Applied entries between snapshots.
-  std::uint64_t keepEntries = 256;   ///< Entries kept behind a snapshot for followers that lag.
+  std::uint64_t keepEntries = 256;   ///< Entries kept before a snapshot, for lagging followers.
 };
 
 struct RaftHooks
@@ -45,24 +46,26 @@
   std::function<std::uint64_t()> random; ///< Uniform 64-bit numbers.
 };
 
-/// \brief What to do now, in this order: persist, restore, send, apply; then RaftNode::Advance.
+/// \brief Pending work of a node. The caller must persist, restore, send and apply, in this order,
+/// and then call RaftNode::Advance.
 struct ReadyOutput
 {
   std::shared_ptr<const RaftSnapshot> persistSnapshot;
-  /// \brief The snapshot came from a leader: entries stored before it are void.
+  /// \brief The snapshot came from a leader; all entries stored so far must be discarded.
   bool snapshotReplacesLog = false;
   std::optional<HardState> hardState;
-  /// \brief To append; what is stored at or after the first one's index is replaced.
+  /// \brief Entries to append; they replace all stored entries from the first one's index on.
   std::vector<LogRecord> entries;
-  /// \brief Replaces the applied state, also once at start when a snapshot was recovered.
+  /// \brief Replaces the applied state; also set once at start if a snapshot was recovered.
   std::shared_ptr<const RaftSnapshot> restoreSnapshot;
-  /// \brief To send once all above is synced; `to` names the receiver. They may be lost.
+  /// \brief Messages to send once everything above is synced; `to` names the receiver. Message loss
+  /// is tolerated.
   std::vector<wire::RaftMessageT> messages;
   std::vector<LogRecord> committed; ///< Commands to apply, in order.
   std::vector<EventOut> events;
 };
 
-/// \brief One voter of the replicated log (Raft with pre-vote and check-quorum). No I/O inside.
+/// \brief One node of the replicated log (Raft with pre-vote and check-quorum). It does no I/O.
 /// \code
 /// RaftNode node(settings, hooks, store.TakeRecovered());
 /// node.Tick(now);
@@ -81,43 +84,44 @@
   RaftNode(const RaftNode&) = delete;
   RaftNode& operator=(const RaftNode&) = delete;
 
-  /// \brief Timers: elections, heartbeats, check-quorum.
+  /// \brief Advances the timers of elections, heartbeats and check-quorum.
   /// \remarks Call it at least every half of RaftSettings::heartbeat.
   void Tick(TimePoint now);
 
-  /// \brief Takes in a message of another control process.
+  /// \brief Handles a message from another control process.
   void Step(TimePoint now, const wire::RaftMessageT& message);
 
   /// \brief Appends a command to the leader's log.
-  /// \returns Its index. Accepted is not committed: it counts once it is in ReadyOutput::committed
-  /// at that index and with the term that Status told.
+  /// \returns The index of its entry. The command is committed only once ReadyOutput::committed
+  /// holds an entry with that index and with the term that Status returned when it was proposed.
   [[nodiscard]] Result<LogIndex> Propose(std::vector<std::uint8_t> command);
 
-  /// \brief Takes a process out of the cluster by a committed change.
-  /// \remarks Take it out of every process's settings first, or it is let in again.
+  /// \brief Removes a process from the cluster by a membership change.
+  /// \remarks Remove it from the settings of all processes first, or it is added again.
   [[nodiscard]] Result<LogIndex> RemoveMember(const ProcessId& process);
 
   [[nodiscard]] bool HasReady() const;
 
-  /// \brief What must be persisted, sent and applied now; Advance must follow.
+  /// \brief Returns the work to do now; call Advance once it is done.
   [[nodiscard]] ReadyOutput TakeReady();
 
-  /// \brief All of the last ReadyOutput was done.
+  /// \brief Reports that the work of the last ReadyOutput is done.
   void Advance();
 
-  /// \brief Enough was applied since the last snapshot that the applied state should be handed in.
+  /// \brief Whether a snapshot is due: at least RaftSettings::snapshotEvery entries were applied
+  /// since the last one.
   [[nodiscard]] bool WantsSnapshot() const;
 
-  /// \brief Hands in the applied state at `index` (at most the applied index).
+  /// \brief Stores a snapshot of the applied state at `index`, which is at most the applied index.
   void OnSnapshotTaken(LogIndex index, std::vector<std::uint8_t> state);
 
-  /// \remarks With a leader, `quorumHeardAt` is the time at which the latest heartbeat round was
-  /// sent that a quorum answered; it stays zero until an entry of the leader's own term committed.
+  /// \remarks On a leader, `quorumHeardAt` is the latest time such that a quorum answered messages
+  /// sent at or after it; it is zero until an entry of the leader's own term is committed.
   [[nodiscard]] ReplicationStatus Status() const;
 
   [[nodiscard]] const Membership& CurrentMembership() const noexcept;
 
-  /// \brief The part of the log that is in memory, for tests and tools.
+  /// \brief The entries that are in memory, for tests and tools.
   [[nodiscard]] std::span<const LogRecord> Entries() const noexcept;
 
   struct Impl;
--- a/src/consensus/raft_core.hpp
+++ b/src/consensus/raft_core.hpp
@@ -23,7 +23,7 @@
   kLeader
 };
 
-/// \brief An encoded snapshot on its way to peers.
+/// \brief An encoded snapshot that is being sent to peers.
 struct SnapshotImage
 {
   std::uint64_t index = 0;
@@ -31,31 +31,31 @@
   std::vector<std::uint8_t> bytes;
 };
 
-/// \brief What the leader knows of one peer.
+/// \brief The leader's replication state for one peer.
 struct Progress
 {
   enum class Mode
   {
-    kProbe,     ///< Looking for the last common entry: one append at a time.
-    kReplicate, ///< Sending ahead of the answers.
-    kSnapshot   ///< Its next entry is compacted away: sending the snapshot.
+    kProbe,     ///< Searching for the last common entry, one append at a time.
+    kReplicate, ///< Pipelining appends without waiting for replies.
+    kSnapshot   ///< Sending a snapshot, since its next entry was compacted away.
   };
 
   StorageIdentity identity;
   bool voter = false;
   Mode mode = Mode::kProbe;
-  std::uint64_t match = 0; ///< Known to be synced there.
-  std::uint64_t next = 1;  ///< To send next.
+  std::uint64_t match = 0; ///< Highest index known to be synced on the peer.
+  std::uint64_t next = 1;  ///< Next index to send.
   std::size_t inFlight = 0;
   bool probeSent = false;
-  TimePoint heardSentAt{};                    ///< When the latest append was sent that it answered.
-  TimePoint repliedAt{};                      ///< When it last answered.
-  std::shared_ptr<const SnapshotImage> image; ///< Being sent; kept although a newer one appears.
+  TimePoint ackedSentAt{};                    ///< Send time of the latest message that it answered.
+  TimePoint repliedAt{};                      ///< Time of its latest reply.
+  std::shared_ptr<const SnapshotImage> image; ///< Being sent, even if a newer one exists.
   std::uint64_t snapshotOffset = 0;
   bool chunkSent = false;
 };
 
-/// \brief What an empty process heard of the others before the founding.
+/// \brief Another process's reply to a join query, kept until the cluster is founded.
 struct FoundingAnswer
 {
   StorageIdentity identity;
@@ -67,24 +67,24 @@
 
 namespace gooseberrysail {
 
-/// \brief The node's state; its functions stand in the raft_*.cpp file of their matter.
+/// \brief The state of a node. Its functions are defined in the raft_*.cpp files, by topic.
 struct RaftNode::Impl
 {
   using Message = wire::RaftMessageT;
   using Kind = wire::RaftKind;
 
-  // ---- raft_node.cpp: life cycle, dispatch, ready ----
+  // ---- raft_node.cpp: lifecycle, dispatch, ready output ----
   Impl(RaftSettings settings, RaftHooks hooks, RecoveredLog recovered);
   void Tick(TimePoint moment);
   void Step(TimePoint moment, const Message& message);
-  [[nodiscard]] bool FromMyCluster(const Message& message);
+  [[nodiscard]] bool CheckCluster(const Message& message);
   [[nodiscard]] bool HandleTerm(const Message& message);
   void Dispatch(const Message& message);
   [[nodiscard]] bool HasReady() const;
   [[nodiscard]] ReadyOutput TakeReady();
   void TakeCommitted(ReadyOutput& ready);
   void Advance();
-  void Advanced(TimePoint moment);
+  void UpdateClock(TimePoint moment);
   [[nodiscard]] Message NewMessage(Kind kind, const std::string& to) const;
   void Send(Message message);
   void Emit(EventNumber number, std::vector<std::pair<std::string, std::string>> fields);
@@ -95,10 +95,10 @@
   void StartPreVote();
   void StartElection();
   void BecomeLeader();
-  void AskForVotes(Kind kind, std::uint64_t forTerm);
+  void RequestVotes(Kind kind, std::uint64_t forTerm);
   void OnVoteRequest(const Message& message);
   void OnVoteReply(const Message& message);
-  [[nodiscard]] bool HeardFromLeader() const;
+  [[nodiscard]] bool HasLeaderContact() const;
   [[nodiscard]] bool IsVoter() const;
   void ResetElectionTimer();
   void CheckQuorum();
@@ -118,17 +118,17 @@
   void OnSnapshotChunk(const Message& message);
   void InstallSnapshot(std::vector<std::uint8_t> bytes, const Message& message);
   void OnSnapshotReply(const Message& message);
-  [[nodiscard]] impl::Progress* CountedPeer(const Message& message);
+  [[nodiscard]] impl::Progress* RecordReply(const Message& message);
   void AdvanceCommit();
   void SetCommit(std::uint64_t index);
-  void TakeOverSnapshot(std::uint64_t index, std::vector<std::uint8_t> state);
+  void OnLocalSnapshot(std::uint64_t index, std::vector<std::uint8_t> state);
 
   // ---- raft_membership.cpp ----
-  void AskToJoin();
+  void SendJoinQueries();
   void OnJoinQuery(const Message& message);
   void OnJoinReply(const Message& message);
-  void FoundIfAllEmpty();
-  void Found(const Membership& founded);
+  void FoundClusterIfAllEmpty();
+  void FoundCluster(const Membership& founded);
   [[nodiscard]] bool IsEmpty() const;
   [[nodiscard]] bool IsMember() const;
   [[nodiscard]] const ProcessId& Founder() const;
@@ -137,8 +137,8 @@
   [[nodiscard]] bool MayChangeMembers() const;
   std::uint64_t ProposeMembership(const Membership& changed);
   void PromoteLearners();
-  void RetireSilentVoter();
-  void UseMembership(Membership newest, std::uint64_t index);
+  void RemoveUnresponsiveVoter();
+  void SetMembership(Membership newest, std::uint64_t index);
   void RecomputeMembership();
   [[nodiscard]] Membership MembershipAt(std::uint64_t index) const;
 
@@ -147,14 +147,14 @@
   StorageIdentity identity;
   std::string self;
 
-  // Promised and stored.
+  // Persistent state.
   HardState hardState;
-  HardState storedHardState;
+  HardState persistedHardState;
   impl::RaftLog log;
   std::shared_ptr<const RaftSnapshot> snapshot;
-  std::uint64_t persisted = 0; ///< Last index that is synced here.
+  std::uint64_t persisted = 0; ///< Last index that is synced on this disk.
 
-  // Known.
+  // Volatile state.
   TimePoint now{};
   bool started = false;
   impl::RaftRole role = impl::RaftRole::kFollower;
@@ -167,44 +167,44 @@
   TimePoint leaderHeardAt{};
   std::map<std::string, bool> votes;
 
-  // Leading.
+  // Leader state.
   std::map<std::string, impl::Progress> peers;
   TimePoint leadingSince{};
   TimePoint heartbeatAt{};
   std::uint64_t termStartIndex = 0; ///< The leader's first entry of its term.
   std::shared_ptr<const impl::SnapshotImage> newestImage;
 
-  // Joining.
+  // State while joining.
   std::uint64_t joinNonce = 0;
-  TimePoint joinAskedAt{};
-  bool joinAsked = false;
+  TimePoint joinQuerySentAt{};
+  bool joinQuerySent = false;
   std::map<std::string, impl::FoundingAnswer> foundingAnswers;
-  std::set<std::string> joinHints; ///< Processes said to be in the cluster to join.
-  bool waitingToJoinTold = false;
-  std::set<std::string> otherClusterTold;
+  std::set<std::string> knownMembers; ///< Members of the cluster, taken from join replies.
+  bool waitingToJoinReported = false;
+  std::set<std::string> otherClusterReported;
 
-  // Receiving a snapshot.
+  // A snapshot being received.
   std::vector<std::uint8_t> incoming;
   std::string incomingFrom;
   std::uint64_t incomingTerm = 0;
   std::uint64_t incomingIndex = 0;
 
-  // Going out with the next ready.
+  // Output of the next TakeReady.
   std::vector<Message> messages;
   std::vector<EventOut> events;
   std::shared_ptr<const RaftSnapshot> persistSnapshot;
   std::shared_ptr<const RaftSnapshot> restoreSnapshot;
   bool snapshotReplacesLog = false;
 
-  // The ready that is being carried out.
-  struct Carried
+  // State at the last TakeReady, until Advance.
+  struct PendingReady
   {
     HardState hardState;
     std::uint64_t lastIndex = 0;
     std::uint64_t lastTerm = 0;
     std::uint64_t applied = 0;
   };
-  std::optional<Carried> carried;
+  std::optional<PendingReady> pendingReady;
 };
 
 } // namespace gooseberrysail
--- a/src/consensus/raft_election.cpp
+++ b/src/consensus/raft_election.cpp
@@ -34,7 +34,7 @@
 
 void RaftNode::Impl::ResetElectionTimer()
 {
-  // Equal timeouts would let voters campaign at the same moment and split the votes for ever.
+  // With equal timeouts voters would campaign at the same time and could split the votes forever.
   const auto span = static_cast<std::uint64_t>(settings.electionTimeout.count());
   const auto extra =
     Duration(static_cast<Duration::rep>(hooks.random() % std::max(span, std::uint64_t{ 1 })));
@@ -47,7 +47,7 @@
   return member != nullptr && member->voter && member->identity == identity;
 }
 
-bool RaftNode::Impl::HeardFromLeader() const
+bool RaftNode::Impl::HasLeaderContact() const
 {
   if (role == RaftRole::kLeader) {
     return true;
@@ -62,8 +62,8 @@
   }
 }
 
-// Asks first whether an election could be won, without entering a new term. Without it, a voter
-// that was frozen or cut off would come back with a higher term and depose the leader.
+// Checks whether an election could be won without entering a new term. Otherwise a voter that was
+// suspended or partitioned would return with a higher term and depose the leader.
 void RaftNode::Impl::StartPreVote()
 {
   ResetElectionTimer();
@@ -75,7 +75,7 @@
     StartElection();
     return;
   }
-  AskForVotes(Kind::PreVote, hardState.term.Get() + 1);
+  RequestVotes(Kind::PreVote, hardState.term.Get() + 1);
 }
 
 void RaftNode::Impl::StartElection()
@@ -91,10 +91,10 @@
     BecomeLeader();
     return;
   }
-  AskForVotes(Kind::Vote, hardState.term.Get());
+  RequestVotes(Kind::Vote, hardState.term.Get());
 }
 
-void RaftNode::Impl::AskForVotes(Kind kind, std::uint64_t forTerm)
+void RaftNode::Impl::RequestVotes(Kind kind, std::uint64_t forTerm)
 {
   for (const Member& member : membership.members) {
     if (!member.voter || member.process == settings.self) {
@@ -116,12 +116,12 @@
   const std::uint64_t term = hardState.term.Get();
   bool grant = false;
   if (pre) {
-    grant = message.term > term && upToDate && !HeardFromLeader();
+    grant = message.term > term && upToDate && !HasLeaderContact();
   } else {
     const bool free = hardState.vote.IsNone() || hardState.vote.Get() == message.from;
     grant = message.term == term && free && upToDate;
   }
-  // A voter whose place was given away while it was gone doesn't know, and would ask for ever.
+  // A voter that was replaced while it was down cannot learn of it and would campaign forever.
   if (role == RaftRole::kLeader && settings.wantedVoters > 0) {
     OnUnknownDisk(ProcessId(message.from), StorageIdentity(message.identity));
   }
@@ -140,16 +140,16 @@
 void RaftNode::Impl::OnVoteReply(const Message& message)
 {
   const bool pre = message.kind == Kind::PreVoteReply;
-  const std::uint64_t asked = hardState.term.Get() + (pre ? 1 : 0);
+  const std::uint64_t expectedTerm = hardState.term.Get() + (pre ? 1 : 0);
   if (role != (pre ? RaftRole::kPreCandidate : RaftRole::kCandidate)) {
     return;
   }
-  if (message.granted && message.term != asked) {
-    return; // Answers an earlier round.
+  if (message.granted && message.term != expectedTerm) {
+    return; // A reply to an earlier round.
   }
-  // A voter whose disk was lost has forgotten for whom it voted and what it acknowledged. Its vote
-  // could elect a leader that lacks acknowledged changes, so only the disk that the cluster let in
-  // counts.
+  // A voter that lost its disk also lost its vote and the entries that it acknowledged. Its vote
+  // could elect a leader that lacks acknowledged changes, so only votes from the disk recorded in
+  // the membership count.
   const Member* member = membership.Find(ProcessId(message.from));
   if (member == nullptr || !member->voter || member->identity.Get() != message.identity) {
     return;
@@ -173,44 +173,44 @@
   leader = self;
   leadingSince = now;
   peers.clear();
-  UseMembership(membership, membershipIndex);
+  SetMembership(membership, membershipIndex);
   Emit(EventNumber::kRaftLeaderElected,
        { { "leader", self }, { "term", std::to_string(hardState.term.Get()) } });
-  // Entries of earlier terms may only be counted as committed together with one of this term: a
-  // later leader could still replace them although a majority holds them.
+  // Entries of earlier terms are committed only together with an entry of this term: a later leader
+  // could still replace them although a majority stores them.
   termStartIndex = AppendAsLeader(LogEntryKind::kLeaderStart, {});
   SendHeartbeats();
 }
 
-// The moment up to which a quorum certainly still followed: each peer counts with the time at which
-// the append was sent that it answered. Counted from the answer, a reply that was long on its way
-// would vouch for a time at which the peer already followed another leader.
+// The latest time at which a quorum is known to have followed this leader. Each peer counts with
+// the send time of the latest message that it answered. The arrival time of a delayed reply could
+// be a time at which the peer already followed another leader.
 TimePoint RaftNode::Impl::QuorumHeardAt() const
 {
-  std::vector<TimePoint> heard;
+  std::vector<TimePoint> contacts;
   for (const Member& member : membership.members) {
     if (!member.voter) {
       continue;
     }
     if (member.process == settings.self) {
-      heard.push_back(now);
+      contacts.push_back(now);
       continue;
     }
     const auto peer = peers.find(member.process.Get());
-    heard.push_back(peer == peers.end() ? TimePoint{} : peer->second.heardSentAt);
+    contacts.push_back(peer == peers.end() ? TimePoint{} : peer->second.ackedSentAt);
   }
   const std::size_t quorum = membership.Quorum();
-  if (heard.size() < quorum) {
+  if (contacts.size() < quorum) {
     return TimePoint{};
   }
-  std::sort(heard.begin(), heard.end(), std::greater<>());
-  return heard[quorum - 1];
+  std::sort(contacts.begin(), contacts.end(), std::greater<>());
+  return contacts[quorum - 1];
 }
 
 void RaftNode::Impl::CheckQuorum()
 {
-  const TimePoint heard = std::max(QuorumHeardAt(), leadingSince);
-  if (now - heard < settings.electionTimeout) {
+  const TimePoint lastContact = std::max(QuorumHeardAt(), leadingSince);
+  if (now - lastContact < settings.electionTimeout) {
     return;
   }
   BecomeFollower(hardState.term.Get(), "", "no quorum answered for an election timeout");
--- a/src/consensus/raft_log.cpp
+++ b/src/consensus/raft_log.cpp
@@ -9,7 +9,7 @@
   m_base = base;
   m_baseTerm = baseTerm;
   m_entries.clear();
-  m_bytesThrough.clear();
+  m_cumulativeBytes.clear();
   m_bytesBefore = 0;
 }
 
@@ -47,8 +47,8 @@
 void RaftLog::Append(LogRecord entry)
 {
   assert(entry.index.Get() == LastIndex() + 1);
-  const std::uint64_t before = m_bytesThrough.empty() ? m_bytesBefore : m_bytesThrough.back();
-  m_bytesThrough.push_back(before + entry.payload.size());
+  const std::uint64_t before = m_cumulativeBytes.empty() ? m_bytesBefore : m_cumulativeBytes.back();
+  m_cumulativeBytes.push_back(before + entry.payload.size());
   m_entries.push_back(std::move(entry));
 }
 
@@ -57,7 +57,7 @@
   assert(index > m_base);
   if (index <= LastIndex()) {
     m_entries.resize(index - m_base - 1);
-    m_bytesThrough.resize(m_entries.size());
+    m_cumulativeBytes.resize(m_entries.size());
   }
 }
 
@@ -68,9 +68,9 @@
   }
   assert(index <= LastIndex());
   m_baseTerm = *TermAt(index);
-  m_bytesBefore = m_bytesThrough[index - m_base - 1];
-  m_bytesThrough.erase(m_bytesThrough.begin(),
-                       m_bytesThrough.begin() + static_cast<std::ptrdiff_t>(index - m_base));
+  m_bytesBefore = m_cumulativeBytes[index - m_base - 1];
+  m_cumulativeBytes.erase(m_cumulativeBytes.begin(),
+                          m_cumulativeBytes.begin() + static_cast<std::ptrdiff_t>(index - m_base));
   m_entries.erase(m_entries.begin(),
                   m_entries.begin() + static_cast<std::ptrdiff_t>(index - m_base));
   m_base = index;
@@ -82,8 +82,8 @@
     return 0;
   }
   const std::uint64_t through =
-    index <= m_base ? m_bytesBefore : m_bytesThrough[index - m_base - 1];
-  return m_bytesThrough.back() - through;
+    index <= m_base ? m_bytesBefore : m_cumulativeBytes[index - m_base - 1];
+  return m_cumulativeBytes.back() - through;
 }
 
 } // namespace gooseberrysail::impl
--- a/src/consensus/raft_log.hpp
+++ b/src/consensus/raft_log.hpp
@@ -9,7 +9,7 @@
 
 namespace gooseberrysail::impl {
 
-/// \brief The entries in memory: those after a base that a snapshot stands for.
+/// \brief The log entries in memory. Entries up to a base index are replaced by a snapshot.
 class RaftLog
 {
 public:
@@ -20,12 +20,12 @@
   [[nodiscard]] std::uint64_t LastIndex() const noexcept { return m_base + m_entries.size(); }
   [[nodiscard]] std::uint64_t LastTerm() const noexcept;
 
-  /// \returns None when the entry is compacted away or not there yet.
+  /// \returns None if the entry was compacted away or does not exist yet.
   [[nodiscard]] std::optional<std::uint64_t> TermAt(std::uint64_t index) const noexcept;
 
   [[nodiscard]] const LogRecord& At(std::uint64_t index) const;
 
-  /// \brief Entries from `first` up to `last`; both must be there.
+  /// \brief Entries from `first` to `last` inclusive; both must be in memory.
   [[nodiscard]] std::span<const LogRecord> Slice(std::uint64_t first, std::uint64_t last) const;
   [[nodiscard]] std::span<const LogRecord> All() const noexcept { return m_entries; }
 
@@ -37,14 +37,15 @@
   /// \brief Drops entries up to `index` from memory.
   void CompactTo(std::uint64_t index);
 
+  /// \brief Payload bytes of the entries after `index`.
   [[nodiscard]] std::size_t BytesAfter(std::uint64_t index) const noexcept;
 
 private:
   std::uint64_t m_base = 0;
   std::uint64_t m_baseTerm = 0;
   std::vector<LogRecord> m_entries;
-  std::vector<std::uint64_t> m_bytesThrough; ///< Payload bytes ever appended, up to each entry.
-  std::uint64_t m_bytesBefore = 0;
+  std::vector<std::uint64_t> m_cumulativeBytes; ///< Payload bytes up to and including each entry.
+  std::uint64_t m_bytesBefore = 0;              ///< The same sum at the base.
 };
 
 } // namespace gooseberrysail::impl
--- a/src/consensus/raft_membership.cpp
+++ b/src/consensus/raft_membership.cpp
@@ -22,7 +22,7 @@
 bool RaftNode::Impl::IsConfigured(const ProcessId& process) const
 {
   if (settings.wantedVoters > 0) {
-    return true; // Who has the cluster's key may join; whether it votes is decided apart.
+    return true; // Any authenticated process may join; its vote is decided separately.
   }
   return std::find(settings.voters.begin(), settings.voters.end(), process) !=
          settings.voters.end();
@@ -33,36 +33,36 @@
   return *std::min_element(settings.voters.begin(), settings.voters.end());
 }
 
-// An empty disk may be a new cluster's or a lost one's, and the process cannot tell by itself. It
-// asks all others. Only when every configured process says that its disk is empty too is there
-// nothing to lose, and the first of them by name founds the cluster. A majority would not do: two
-// of three wiped disks would found a new cluster beside the one that holds the data.
-void RaftNode::Impl::AskToJoin()
+// An empty disk can mean a new cluster or a lost disk, which a process cannot tell on its own, so
+// it queries all others. Only if every configured process reports an empty disk is there no data to
+// lose, and the first of them by name founds the cluster. A majority is not enough: two wiped disks
+// out of three would found a second cluster beside the one that holds the data.
+void RaftNode::Impl::SendJoinQueries()
 {
-  if (joinAsked && now < joinAskedAt + 2 * settings.heartbeat) {
+  if (joinQuerySent && now < joinQuerySentAt + 2 * settings.heartbeat) {
     return;
   }
-  joinAsked = true;
-  joinAskedAt = now;
+  joinQuerySent = true;
+  joinQuerySentAt = now;
   joinNonce = hooks.random();
   foundingAnswers.clear();
-  std::set<std::string> asked(joinHints);
+  std::set<std::string> receivers(knownMembers);
   for (const ProcessId& process : settings.voters) {
-    asked.insert(process.Get());
+    receivers.insert(process.Get());
   }
-  asked.erase(self);
-  for (const std::string& process : asked) {
+  receivers.erase(self);
+  for (const std::string& process : receivers) {
     Message query = NewMessage(Kind::JoinQuery, process);
     query.granted = IsEmpty();
     query.readContext = joinNonce;
     Send(std::move(query));
   }
-  if (!waitingToJoinTold && settings.voters.size() > 1) {
-    waitingToJoinTold = true;
+  if (!waitingToJoinReported && settings.voters.size() > 1) {
+    waitingToJoinReported = true;
     Emit(EventNumber::kRaftWaitingToJoin,
          { { "reason", IsEmpty() ? "empty disk" : "the cluster does not know this disk" } });
   }
-  FoundIfAllEmpty();
+  FoundClusterIfAllEmpty();
 }
 
 void RaftNode::Impl::OnJoinQuery(const Message& message)
@@ -89,20 +89,21 @@
   if (message.readContext != joinNonce || !IsConfigured(ProcessId(message.from))) {
     return;
   }
-  // The processes of the settings may all be followers, or replaced since: the leader is asked too.
-  joinHints.insert(message.members.begin(), message.members.end());
+  // All processes in the settings may be followers or may have been replaced, so the members that
+  // they report are queried as well, which includes the leader.
+  knownMembers.insert(message.members.begin(), message.members.end());
   foundingAnswers[message.from] =
     FoundingAnswer{ StorageIdentity(message.identity), !message.granted, message.readContext };
-  FoundIfAllEmpty();
+  FoundClusterIfAllEmpty();
 }
 
-void RaftNode::Impl::FoundIfAllEmpty()
+void RaftNode::Impl::FoundClusterIfAllEmpty()
 {
   if (!settings.mayFound || !IsEmpty() || settings.self != Founder()) {
     return;
   }
-  // After a pause the answers are old: a process may have data by now.
-  if (now - joinAskedAt >= settings.electionTimeout) {
+  // The replies may be outdated, for example after a pause: a process may have data by now.
+  if (now - joinQuerySentAt >= settings.electionTimeout) {
     return;
   }
   Membership founded;
@@ -118,13 +119,13 @@
     }
     founded.members.push_back({ process, answer->second.identity, true });
   }
-  Found(founded);
+  FoundCluster(founded);
 }
 
-void RaftNode::Impl::Found(const Membership& founded)
+void RaftNode::Impl::FoundCluster(const Membership& founded)
 {
-  // The term stays 0 until this entry is synced: a crash in between must leave a disk that counts
-  // as empty, or nobody could found the cluster any more.
+  // The term stays 0 until this entry is synced: after a crash before that the disk must still
+  // count as empty, or the cluster could never be founded.
   hardState.cluster = founded.cluster;
   log.Append({ LogIndex(1), Term(0), LogEntryKind::kMembership, EncodeMembership(founded) });
   Emit(EventNumber::kRaftFounded,
@@ -134,10 +135,10 @@
   electionDeadline = now;
 }
 
-// A configured process came with a disk that the membership doesn't hold. One change takes the lost
-// disk's vote away and lets the new disk in as a learner; a second one makes it a voter once it has
-// the log. Two steps, so that each change adds or removes one voter: majorities before and after a
-// change then always share a process.
+// Handles a configured process whose disk is not in the membership. A first change removes the old
+// disk and adds the new one as a learner; a second change makes it a voter once it has caught up.
+// Each change thus adds or removes at most one voter, so that the majorities before and after it
+// overlap.
 void RaftNode::Impl::OnUnknownDisk(const ProcessId& process, StorageIdentity newDisk)
 {
   const Member* member = membership.Find(process);
@@ -166,8 +167,8 @@
   ProposeMembership(changed);
 }
 
-// One change at a time, and none before an entry of this term committed: majorities of two changes
-// that overlap need not share a process.
+// Only one membership change may be pending, and none before an entry of this term is committed:
+// the majorities of two concurrent changes need not overlap.
 bool RaftNode::Impl::MayChangeMembers() const
 {
   return role == RaftRole::kLeader && commit >= termStartIndex && membershipIndex <= commit;
@@ -176,7 +177,7 @@
 std::uint64_t RaftNode::Impl::ProposeMembership(const Membership& changed)
 {
   const std::uint64_t index = AppendAsLeader(LogEntryKind::kMembership, EncodeMembership(changed));
-  UseMembership(changed, index);
+  SetMembership(changed, index);
   return index;
 }
 
@@ -191,12 +192,12 @@
       continue;
     }
     const bool caughtUp = peer->second.match >= commit;
-    const bool alive = now - peer->second.heardSentAt < settings.electionTimeout;
+    const bool alive = now - peer->second.ackedSentAt < settings.electionTimeout;
     if (!caughtUp || !alive) {
       continue;
     }
     if (settings.wantedVoters > 0 && membership.VoterCount() >= settings.wantedVoters) {
-      RetireSilentVoter();
+      RemoveUnresponsiveVoter();
       return;
     }
     Membership changed = membership;
@@ -208,32 +209,32 @@
   }
 }
 
-// A machine that is gone for good keeps its vote until another process stands ready to take its
-// place; the vote of one that is only slow to come back is so never lost for nothing. Its removal
-// and the newcomer's vote are two changes, of one voter each.
-void RaftNode::Impl::RetireSilentVoter()
+// A failed voter is removed only once a learner is ready to replace it, so that a voter that is
+// slow to return does not lose its vote needlessly. Removing it and promoting the learner are two
+// changes of one voter each.
+void RaftNode::Impl::RemoveUnresponsiveVoter()
 {
-  const std::string* longest = nullptr;
+  const std::string* longestSilent = nullptr;
   TimePoint oldest = now - settings.replaceAfter;
   for (const auto& [process, peer] : peers) {
-    // A leader that just began has not heard anybody yet.
-    const TimePoint heard = std::max(peer.repliedAt, leadingSince);
-    if (peer.voter && heard <= oldest) {
-      oldest = heard;
-      longest = &process;
+    // A new leader has not received any replies yet.
+    const TimePoint lastContact = std::max(peer.repliedAt, leadingSince);
+    if (peer.voter && lastContact <= oldest) {
+      oldest = lastContact;
+      longestSilent = &process;
     }
   }
-  if (longest == nullptr) {
+  if (longestSilent == nullptr) {
     return;
   }
-  Emit(EventNumber::kRaftVoterRetired, { { "process", *longest } });
+  Emit(EventNumber::kRaftVoterRetired, { { "process", *longestSilent } });
   Membership changed = membership;
   std::erase_if(changed.members,
-                [&](const Member& each) { return each.process.Get() == *longest; });
+                [&](const Member& each) { return each.process.Get() == *longestSilent; });
   ProposeMembership(changed);
 }
 
-void RaftNode::Impl::UseMembership(Membership newest, std::uint64_t index)
+void RaftNode::Impl::SetMembership(Membership newest, std::uint64_t index)
 {
   membership = std::move(newest);
   membershipIndex = index;
@@ -282,7 +283,7 @@
       break;
     }
   }
-  UseMembership(MembershipAt(log.LastIndex()), index);
+  SetMembership(MembershipAt(log.LastIndex()), index);
 }
 
 } // namespace gooseberrysail
--- a/src/consensus/raft_node.cpp
+++ b/src/consensus/raft_node.cpp
@@ -13,7 +13,7 @@
   , identity(recovered.identity)
   , self(settings.self.Get())
   , hardState(recovered.hardState)
-  , storedHardState(recovered.hardState)
+  , persistedHardState(recovered.hardState)
   , snapshot(recovered.snapshot)
   , joinNonce(hooks.random())
   , restoreSnapshot(recovered.snapshot)
@@ -31,7 +31,7 @@
 
 void RaftNode::Impl::Tick(TimePoint moment)
 {
-  Advanced(moment);
+  UpdateClock(moment);
   if (role == impl::RaftRole::kLeader) {
     CheckQuorum();
   }
@@ -43,14 +43,14 @@
     return;
   }
   if (!IsMember()) {
-    AskToJoin();
+    SendJoinQueries();
     return;
   }
   CampaignIfDue();
 }
 
-// Takes over the time; it never goes back, whatever order calls come in.
-void RaftNode::Impl::Advanced(TimePoint moment)
+// Advances the node's clock, which never goes back, even if calls arrive out of order.
+void RaftNode::Impl::UpdateClock(TimePoint moment)
 {
   now = std::max(now, moment);
   if (started) {
@@ -58,7 +58,7 @@
   }
   started = true;
   ResetElectionTimer();
-  // Nobody else can lead a cluster of one, so nothing is gained by waiting.
+  // The only voter can start its election without a timeout.
   if (IsVoter() && membership.VoterCount() == 1) {
     electionDeadline = now;
   }
@@ -66,7 +66,7 @@
 
 void RaftNode::Impl::Step(TimePoint moment, const Message& message)
 {
-  Advanced(moment);
+  UpdateClock(moment);
   if (message.to != self || message.from == self) {
     return;
   }
@@ -78,15 +78,15 @@
     OnJoinReply(message);
     return;
   }
-  if (!FromMyCluster(message) || !HandleTerm(message)) {
+  if (!CheckCluster(message) || !HandleTerm(message)) {
     return;
   }
   Dispatch(message);
 }
 
-// Without this check two clusters that were set up with one another's addresses would overwrite
-// each other's logs: terms and indexes say nothing about which cluster they belong to.
-bool RaftNode::Impl::FromMyCluster(const Message& message)
+// Without this check two clusters that are configured with each other's addresses would overwrite
+// each other's logs, since terms and indexes do not identify a cluster.
+bool RaftNode::Impl::CheckCluster(const Message& message)
 {
   const std::uint64_t expected = hardState.cluster != 0 ? hardState.cluster : message.cluster;
   const bool known = hardState.cluster != 0 || IsConfigured(ProcessId(message.from));
@@ -96,7 +96,7 @@
     }
     return true;
   }
-  if (otherClusterTold.insert(message.from).second) {
+  if (otherClusterReported.insert(message.from).second) {
     Emit(EventNumber::kRaftOtherCluster,
          { { "peer", message.from },
            { "cluster", std::to_string(message.cluster) },
@@ -110,15 +110,15 @@
 {
   const std::uint64_t term = hardState.term.Get();
   if (message.kind == Kind::PreVote) {
-    return true; // Asks about a term that nobody has entered yet.
+    return true; // Its term has not been entered yet.
   }
   if (message.kind == Kind::PreVoteReply && message.granted) {
     return true;
   }
   if (message.term > term) {
-    // A voter that hears from its leader keeps it: otherwise one that was cut off, or is asked by a
-    // removed process, would depose a healthy leader again and again.
-    if (message.kind == Kind::Vote && HeardFromLeader()) {
+    // A voter in contact with its leader ignores vote requests. Otherwise a process that was
+    // partitioned or removed would repeatedly depose a healthy leader.
+    if (message.kind == Kind::Vote && HasLeaderContact()) {
       return false;
     }
     const bool fromLeader = message.kind == Kind::Append || message.kind == Kind::Snapshot;
@@ -126,14 +126,14 @@
     return true;
   }
   if (message.term < term) {
-    // A leader of an older term learns of the newer one from the answer, and steps down. Without
-    // it a process that came back with a higher term could never be led again.
+    // The reply makes a leader of an older term step down. Without it a process that returned with
+    // a higher term would never accept a leader again.
     if (message.kind == Kind::Append || message.kind == Kind::Snapshot) {
       Message reply = NewMessage(Kind::AppendReply, message.from);
       reply.readContext = message.readContext;
       Send(std::move(reply));
     }
-    return message.kind == Kind::Vote; // Refused there, with the newer term.
+    return message.kind == Kind::Vote; // OnVoteRequest rejects it, with the newer term.
   }
   return true;
 }
@@ -169,12 +169,12 @@
 bool RaftNode::Impl::HasReady() const
 {
   return !messages.empty() || !events.empty() || persistSnapshot || restoreSnapshot ||
-         hardState != storedHardState || log.LastIndex() > persisted || commit > applied;
+         hardState != persistedHardState || log.LastIndex() > persisted || commit > applied;
 }
 
 ReadyOutput RaftNode::Impl::TakeReady()
 {
-  assert(!carried);
+  assert(!pendingReady);
   if (role == impl::RaftRole::kLeader) {
     SendAppends();
   }
@@ -182,7 +182,7 @@
   ready.persistSnapshot = std::exchange(persistSnapshot, nullptr);
   ready.snapshotReplacesLog = std::exchange(snapshotReplacesLog, false);
   ready.restoreSnapshot = std::exchange(restoreSnapshot, nullptr);
-  if (hardState != storedHardState) {
+  if (hardState != persistedHardState) {
     ready.hardState = hardState;
   }
   const auto unstored = log.Slice(persisted + 1, log.LastIndex());
@@ -190,7 +190,7 @@
   TakeCommitted(ready);
   ready.messages = std::exchange(messages, {});
   ready.events = std::exchange(events, {});
-  carried = Carried{ hardState, log.LastIndex(), log.LastTerm(), commit };
+  pendingReady = PendingReady{ hardState, log.LastIndex(), log.LastTerm(), commit };
   return ready;
 }
 
@@ -205,10 +205,10 @@
 
 void RaftNode::Impl::Advance()
 {
-  assert(carried);
-  const Carried done = *std::exchange(carried, std::nullopt);
-  storedHardState = done.hardState;
-  // Entries may have been replaced while they were written; then they are written once more.
+  assert(pendingReady);
+  const PendingReady done = *std::exchange(pendingReady, std::nullopt);
+  persistedHardState = done.hardState;
+  // If entries were replaced while they were written, the new ones still have to be persisted.
   if (log.TermAt(done.lastIndex) == done.lastTerm) {
     persisted = std::max(persisted, done.lastIndex);
   }
@@ -216,7 +216,7 @@
   if (role == impl::RaftRole::kLeader) {
     AdvanceCommit();
   } else {
-    CampaignIfDue(); // The founder starts as soon as the founding is synced.
+    CampaignIfDue(); // The founder campaigns once its first entry is synced.
   }
 }
 
@@ -243,7 +243,7 @@
   events.push_back(MakeEvent(number, std::move(fields)));
 }
 
-// ---- the public face ----
+// ---- public interface ----
 
 RaftNode::RaftNode(RaftSettings settings, RaftHooks hooks, RecoveredLog recovered)
   : m_impl(std::make_unique<Impl>(std::move(settings), std::move(hooks), std::move(recovered)))
@@ -329,7 +329,7 @@
 
 void RaftNode::OnSnapshotTaken(LogIndex index, std::vector<std::uint8_t> state)
 {
-  m_impl->TakeOverSnapshot(index.Get(), std::move(state));
+  m_impl->OnLocalSnapshot(index.Get(), std::move(state));
 }
 
 ReplicationStatus RaftNode::Status() const
@@ -343,8 +343,8 @@
   for (const Member& member : m_impl->membership.members) {
     status.members.push_back(member.process);
   }
-  // Before an entry of its own term committed, a new leader may not know the newest committed
-  // index: a read would then miss changes that its predecessor acknowledged.
+  // Until an entry of its own term is committed, a new leader may not know the latest committed
+  // index, and a read could miss changes that its predecessor acknowledged.
   if (status.leader && m_impl->commit >= m_impl->termStartIndex) {
     status.quorumHeardAt = m_impl->QuorumHeardAt();
   }
--- a/src/consensus/raft_replication.cpp
+++ b/src/consensus/raft_replication.cpp
@@ -50,7 +50,7 @@
   heartbeatAt = now + settings.heartbeat;
   for (auto& [process, peer] : peers) {
     if (peer.mode == Progress::Mode::kSnapshot) {
-      peer.chunkSent = false; // The chunk or its answer may be lost.
+      peer.chunkSent = false; // The chunk or its reply may be lost.
       SendSnapshotChunk(process, peer);
       continue;
     }
@@ -71,7 +71,7 @@
   }
 }
 
-/// \param heartbeat Sent in any case, and without entries unless the peer is being probed.
+/// \param heartbeat Sends a message without entries, unless the peer is being probed.
 void RaftNode::Impl::SendAppend(const std::string& to, Progress& peer, bool heartbeat)
 {
   const std::uint64_t previous = peer.next - 1;
@@ -141,7 +141,7 @@
 void RaftNode::Impl::OnAppend(const Message& message)
 {
   if (role == RaftRole::kLeader) {
-    return; // Two leaders in one term cannot be; a forged or mixed-up message.
+    return; // A term has only one leader, so this message is forged or misdirected.
   }
   if (role != RaftRole::kFollower || leader != message.from) {
     BecomeFollower(message.term, message.from, "");
@@ -149,7 +149,7 @@
   leaderHeardAt = now;
   ResetElectionTimer();
   if (message.lastIndex < commit) {
-    // Committed entries are the same everywhere: no need to compare below them.
+    // Committed entries are identical on all processes and need no comparison.
     Message reply = NewMessage(Kind::AppendReply, message.from);
     reply.granted = true;
     reply.lastIndex = commit;
@@ -164,8 +164,8 @@
   AcceptEntries(message);
 }
 
-// Tells the leader the latest place where the logs may agree, so that it steps back over a whole
-// term at once and not entry by entry.
+// Sends the leader the latest index at which the logs may match, so that it skips a whole term at
+// once instead of going back entry by entry.
 void RaftNode::Impl::RejectAppend(const Message& message)
 {
   std::uint64_t hint = std::min(message.lastIndex, log.LastIndex());
@@ -183,10 +183,10 @@
 void RaftNode::Impl::AcceptEntries(const Message& message)
 {
   std::uint64_t last = message.lastIndex;
-  bool membershipTouched = false;
+  bool membershipChanged = false;
   for (const auto& row : message.entries) {
     if (row->index != last + 1) {
-      return; // Not a contiguous run: malformed.
+      return; // Malformed: the entries are not contiguous.
     }
     last = row->index;
     if (log.TermAt(last) == row->term) {
@@ -194,16 +194,16 @@
     }
     if (last <= log.LastIndex()) {
       if (last <= commit) {
-        return; // A committed entry is never replaced, whoever asks.
+        return; // A committed entry is never replaced.
       }
-      membershipTouched = membershipTouched || membershipIndex >= last;
+      membershipChanged = membershipChanged || membershipIndex >= last;
       log.TruncateFrom(last);
       persisted = std::min(persisted, last - 1);
     }
     log.Append(FromWire(*row));
-    membershipTouched = membershipTouched || log.At(last).kind == LogEntryKind::kMembership;
+    membershipChanged = membershipChanged || log.At(last).kind == LogEntryKind::kMembership;
   }
-  if (membershipTouched) {
+  if (membershipChanged) {
     RecomputeMembership();
   }
   SetCommit(std::min(message.commit, last));
@@ -258,7 +258,7 @@
 {
   Result<RaftSnapshot> decoded = DecodeSnapshot(bytes);
   if (!decoded || decoded.value().index.Get() != message.lastIndex) {
-    Message reply = NewMessage(Kind::SnapshotReply, message.from); // From the start again.
+    Message reply = NewMessage(Kind::SnapshotReply, message.from); // Restarts the transfer.
     reply.lastIndex = message.lastIndex;
     Send(std::move(reply));
     return;
@@ -267,7 +267,7 @@
   const std::uint64_t index = snapshot->index.Get();
   Emit(EventNumber::kRaftSnapshotReceived,
        { { "index", std::to_string(index) }, { "bytes", std::to_string(bytes.size()) } });
-  // Entries behind the snapshot that belong to the same history may stay; others are void.
+  // Entries after the snapshot stay only if the log matches the snapshot's last entry.
   const bool sameHistory = log.TermAt(index) == snapshot->term.Get();
   if (sameHistory) {
     log.CompactTo(index);
@@ -289,16 +289,17 @@
 
 // ---- leader ----
 
-/// \returns The peer that sent it, when it is the disk that the cluster knows.
-Progress* RaftNode::Impl::CountedPeer(const Message& message)
+/// Records the contact with the peer that sent a reply.
+/// \returns The peer, or null if its disk is not the one in the membership.
+Progress* RaftNode::Impl::RecordReply(const Message& message)
 {
   if (role != RaftRole::kLeader) {
     return nullptr;
   }
   const auto peer = peers.find(message.from);
   if (peer == peers.end() || peer->second.identity.Get() != message.identity) {
-    // An empty disk under an old name acknowledges entries, but the cluster still counts on what
-    // the lost disk had acknowledged; counting both would let committed entries vanish.
+    // A new disk under an existing name must not count: the cluster still relies on the entries
+    // that the lost disk acknowledged, so counting the new one could lose committed entries.
     OnUnknownDisk(ProcessId(message.from), StorageIdentity(message.identity));
     return nullptr;
   }
@@ -306,14 +307,14 @@
   known.repliedAt = now;
   const TimePoint sentAt = FromContext(message.readContext);
   if (sentAt <= now) {
-    known.heardSentAt = std::max(known.heardSentAt, sentAt);
+    known.ackedSentAt = std::max(known.ackedSentAt, sentAt);
   }
   return &known;
 }
 
 void RaftNode::Impl::OnAppendReply(const Message& message)
 {
-  Progress* peer = CountedPeer(message);
+  Progress* peer = RecordReply(message);
   if (peer == nullptr) {
     return;
   }
@@ -322,13 +323,13 @@
     return;
   }
   if (message.lastIndex > log.LastIndex()) {
-    return; // Acknowledges what was never sent: malformed.
+    return; // Malformed: acknowledges entries that were never sent.
   }
   peer->inFlight -= peer->inFlight > 0 ? 1 : 0;
   peer->match = std::max(peer->match, message.lastIndex);
   peer->next = std::max(peer->next, peer->match + 1);
   if (peer->mode == Progress::Mode::kSnapshot && peer->match < log.Base()) {
-    // Either a late answer, or the image that it took is older than what the log still holds.
+    // Either a late reply, or the log no longer has the entries after the installed snapshot.
     if (peer->image && peer->match >= peer->image->index) {
       peer->image = nullptr;
       peer->chunkSent = false;
@@ -342,7 +343,7 @@
     peer->image = nullptr;
   }
   if (peer->next == peer->match + 1) {
-    peer->inFlight = 0; // Answers may have been lost; nothing is outstanding any more.
+    peer->inFlight = 0; // Nothing is outstanding; replies may have been lost.
   }
   AdvanceCommit();
   SendAppends();
@@ -372,7 +373,7 @@
 
 void RaftNode::Impl::OnSnapshotReply(const Message& message)
 {
-  Progress* peer = CountedPeer(message);
+  Progress* peer = RecordReply(message);
   if (peer == nullptr || peer->mode != Progress::Mode::kSnapshot || !peer->image ||
       message.lastIndex != peer->image->index) {
     return;
@@ -382,8 +383,8 @@
   SendSnapshotChunk(message.from, *peer);
 }
 
-// An entry is committed once a majority of voters has it synced; this process counts for itself
-// only up to what it has synced too.
+// An entry is committed once a majority of voters has synced it. This process also counts only
+// with the entries that it has synced.
 void RaftNode::Impl::AdvanceCommit()
 {
   std::vector<std::uint64_t> synced;
@@ -427,7 +428,7 @@
   }
 }
 
-void RaftNode::Impl::TakeOverSnapshot(std::uint64_t index, std::vector<std::uint8_t> state)
+void RaftNode::Impl::OnLocalSnapshot(std::uint64_t index, std::vector<std::uint8_t> state)
 {
   assert(index <= applied);
   const auto term = log.TermAt(index);
--- a/tests/fakes/raft_cluster.cpp
+++ b/tests/fakes/raft_cluster.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::size_t kStateWords = 16; // The chain and ballast: several chunks in a transfer.
+constexpr std::size_t kStateWords = 16; // The hash and padding; takes several chunks.
 
 std::vector<std::uint8_t> ToBytes(std::span<const std::uint64_t> values)
 {
@@ -100,36 +100,36 @@
   recovered.snapshot = process.disk.snapshot;
   recovered.entries = process.disk.entries;
   process.applied = 0;
-  process.chain = 0;
+  process.stateHash = 0;
   process.restores = 0;
-  process.replayed = 0;
+  process.appliedCommands = 0;
   process.proposed.clear();
   process.crashAt.reset();
   process.node = std::make_unique<RaftNode>(
     std::move(settings), RaftHooks{ [this] { return m_random(); } }, std::move(recovered));
 }
 
-TimePoint RaftCluster::NowOf(const Process& process) const
+TimePoint RaftCluster::LocalTime(const Process& process) const
 {
   return TimePoint(m_now + process.clockOffset);
 }
 
-void RaftCluster::Note(const std::string& text)
+void RaftCluster::AddTrace(const std::string& text)
 {
   if (m_options.trace) {
     m_trace.push_back(std::to_string(ToMillis(m_now)) + " ms  " + text);
   }
 }
 
-void RaftCluster::Fail(const std::string& what)
+void RaftCluster::RecordViolation(const std::string& what)
 {
   if (m_violation.empty()) {
     m_violation = what;
-    Note("VIOLATION: " + what);
+    AddTrace("VIOLATION: " + what);
   }
 }
 
-// ---- the script ----
+// ---- control ----
 
 void RaftCluster::Advance(Duration step)
 {
@@ -138,8 +138,8 @@
   for (std::size_t i = 0; i < m_processes.size(); ++i) {
     Process& process = m_processes[i];
     if (process.node && !process.frozen) {
-      process.node->Tick(NowOf(process));
-      Drain(i);
+      process.node->Tick(LocalTime(process));
+      ProcessReady(i);
     }
   }
 }
@@ -155,10 +155,10 @@
 
 void RaftCluster::Crash(std::size_t index)
 {
-  Note("kill " + m_processes[index].name);
+  AddTrace("crash " + m_processes[index].name);
   m_processes[index].node = nullptr;
   m_processes[index].frozen = false;
-  if (m_options.broken.forgetVote) {
+  if (m_options.faults.forgetVote) {
     FakeDisk& disk = m_processes[index].disk;
     disk.hardState.term = disk.entries.empty() ? Term() : disk.entries.back().term;
     disk.hardState.vote = ProcessId();
@@ -172,39 +172,39 @@
 
 void RaftCluster::Restart(std::size_t index)
 {
-  Note("start " + m_processes[index].name);
+  AddTrace("start " + m_processes[index].name);
   Start(m_processes[index]);
 }
 
-void RaftCluster::NameSeeds(std::size_t index, std::vector<ProcessId> seeds)
+void RaftCluster::SetSeeds(std::size_t index, std::vector<ProcessId> seeds)
 {
   m_processes[index].seeds = std::move(seeds);
 }
 
 void RaftCluster::Wipe(std::size_t index)
 {
-  Note("wipe the disk of " + m_processes[index].name);
+  AddTrace("wipe the disk of " + m_processes[index].name);
   const StorageIdentity before = m_processes[index].disk.identity;
   m_processes[index].disk = {};
   m_processes[index].disk.identity =
-    m_options.broken.keepIdentity ? before : StorageIdentity(m_nextIdentity++);
+    m_options.faults.keepIdentity ? before : StorageIdentity(m_nextIdentity++);
 }
 
 void RaftCluster::Freeze(std::size_t index)
 {
-  Note("freeze " + m_processes[index].name);
+  AddTrace("freeze " + m_processes[index].name);
   m_processes[index].frozen = true;
 }
 
-void RaftCluster::Thaw(std::size_t index)
+void RaftCluster::Unfreeze(std::size_t index)
 {
-  Note("thaw " + m_processes[index].name);
+  AddTrace("thaw " + m_processes[index].name);
   m_processes[index].frozen = false;
 }
 
 void RaftCluster::Block(std::size_t from, std::size_t to)
 {
-  Note("cut the link " + m_processes[from].name + ">" + m_processes[to].name);
+  AddTrace("block the link " + m_processes[from].name + ">" + m_processes[to].name);
   m_blocked.insert({ from, to });
 }
 
@@ -216,9 +216,9 @@
   }
 }
 
-void RaftCluster::HealLinks()
+void RaftCluster::RestoreLinks()
 {
-  Note("heal all links");
+  AddTrace("restore all links");
   m_blocked.clear();
 }
 
@@ -240,20 +240,20 @@
   if (!proposed) {
     return false;
   }
-  Note("propose " + std::to_string(value) + " at " + process.name + " as index " +
-       std::to_string(proposed.value().Get()) + " term " + std::to_string(term));
+  AddTrace("propose " + std::to_string(value) + " at " + process.name + " as index " +
+           std::to_string(proposed.value().Get()) + " term " + std::to_string(term));
   process.proposed[proposed.value().Get()] = { term, value };
-  Drain(index);
+  ProcessReady(index);
   return true;
 }
 
-// ---- carrying out ----
+// ---- processing of ready outputs ----
 
-void RaftCluster::Drain(std::size_t index)
+void RaftCluster::ProcessReady(std::size_t index)
 {
   while (m_processes[index].node && m_processes[index].node->HasReady()) {
     const ReadyOutput ready = m_processes[index].node->TakeReady();
-    if (!CarryOut(index, ready)) {
+    if (!ExecuteReady(index, ready)) {
       return;
     }
     m_processes[index].node->Advance();
@@ -264,22 +264,22 @@
   }
 }
 
-bool RaftCluster::CarryOut(std::size_t index, const ReadyOutput& ready)
+bool RaftCluster::ExecuteReady(std::size_t index, const ReadyOutput& ready)
 {
   Process& process = m_processes[index];
   CheckAppended(process, ready);
   const bool crashes = process.crashAt.has_value();
   const CrashPoint point = process.crashAt.value_or(CrashPoint::kAfterSending);
-  if (m_options.broken.sendBeforePersist) {
-    Post(index, ready.messages);
+  if (m_options.faults.sendBeforePersist) {
+    SendMessages(index, ready.messages);
   }
   Persist(process, ready, point);
   process.events.insert(process.events.end(), ready.events.begin(), ready.events.end());
-  if (!m_options.broken.sendBeforePersist && point == CrashPoint::kAfterSending) {
-    Post(index, ready.messages);
+  if (!m_options.faults.sendBeforePersist && point == CrashPoint::kAfterSending) {
+    SendMessages(index, ready.messages);
   }
   if (crashes) {
-    Note("crash point " + std::to_string(static_cast<int>(point)));
+    AddTrace("crash point " + std::to_string(static_cast<int>(point)));
     Crash(index);
     return false;
   }
@@ -308,12 +308,12 @@
   return static_cast<std::size_t>(found - m_processes.begin());
 }
 
-void RaftCluster::Post(std::size_t from, const std::vector<wire::RaftMessageT>& messages)
+void RaftCluster::SendMessages(std::size_t from, const std::vector<wire::RaftMessageT>& messages)
 {
   for (const wire::RaftMessageT& message : messages) {
     const std::size_t to = IndexOf(message.to);
     if (m_blocked.contains({ from, to }) || m_random() % 100 < m_lossPercent) {
-      Note("lost " + Describe(message));
+      AddTrace("drop " + Describe(message));
       continue;
     }
     const std::size_t copies = m_random() % 100 < m_duplicatePercent ? 2 : 1;
@@ -347,9 +347,9 @@
     if (!process.node || (m_filter && m_filter(flight.message))) {
       continue;
     }
-    Note("deliver " + Describe(flight.message));
-    process.node->Step(NowOf(process), flight.message);
-    Drain(flight.to);
+    AddTrace("deliver " + Describe(flight.message));
+    process.node->Step(LocalTime(process), flight.message);
+    ProcessReady(flight.to);
   }
 }
 
@@ -358,39 +358,40 @@
   if (ready.restoreSnapshot) {
     const RaftSnapshot& snapshot = *ready.restoreSnapshot;
     process.applied = snapshot.index.Get();
-    process.chain = ToValue(snapshot.state);
+    process.stateHash = ToValue(snapshot.state);
     ++process.restores;
     const auto after = m_committed.upper_bound(process.applied);
     const std::uint64_t expected =
-      after == m_committed.begin() ? 0 : std::prev(after)->second.chain;
-    if (process.chain != expected) {
-      Fail("state machine safety: the snapshot at " + std::to_string(process.applied) + " that " +
-           process.name + " restored differs from what was applied elsewhere");
+      after == m_committed.begin() ? 0 : std::prev(after)->second.stateHash;
+    if (process.stateHash != expected) {
+      RecordViolation("state machine safety: the snapshot at " + std::to_string(process.applied) +
+                      " that " + process.name +
+                      " restored differs from what was applied elsewhere");
     }
   }
   for (const LogRecord& entry : ready.committed) {
-    ApplyOne(process, entry);
+    ApplyEntry(process, entry);
   }
 }
 
-void RaftCluster::ApplyOne(Process& process, const LogRecord& entry)
+void RaftCluster::ApplyEntry(Process& process, const LogRecord& entry)
 {
   const std::uint64_t index = entry.index.Get();
   const std::uint64_t value = ToValue(entry.payload);
   if (index <= process.applied) {
-    Fail("index " + std::to_string(index) + " was applied twice at " + process.name);
+    RecordViolation("index " + std::to_string(index) + " was applied twice at " + process.name);
   }
   process.applied = index;
-  process.chain = HashOf(entry.payload, process.chain);
-  ++process.replayed;
+  process.stateHash = HashOf(entry.payload, process.stateHash);
+  ++process.appliedCommands;
   const std::uint64_t inTerm = process.node->Status().term.Get();
-  const Committed now{ entry.term.Get(), value, process.chain, inTerm };
-  const auto [known, fresh] = m_committed.emplace(index, now);
-  const bool skipped = fresh && std::next(known) != m_committed.end();
+  const Committed now{ entry.term.Get(), value, process.stateHash, inTerm };
+  const auto [known, inserted] = m_committed.emplace(index, now);
+  const bool skipped = inserted && std::next(known) != m_committed.end();
   if (skipped || known->second.term != now.term || known->second.value != value ||
-      known->second.chain != now.chain) {
-    Fail("state machine safety: " + process.name + " applied another command at index " +
-         std::to_string(index));
+      known->second.stateHash != now.stateHash) {
+    RecordViolation("state machine safety: " + process.name + " applied another command at index " +
+                    std::to_string(index));
   }
   const auto mine = process.proposed.find(index);
   if (mine != process.proposed.end() && mine->second.term == now.term &&
@@ -406,7 +407,7 @@
 {
   if (process.node->WantsSnapshot()) {
     std::vector<std::uint64_t> state(kStateWords, process.applied);
-    state[0] = process.chain;
+    state[0] = process.stateHash;
     process.node->OnSnapshotTaken(process.node->Status().applied, ToBytes(state));
   }
 }
@@ -417,7 +418,7 @@
 {
   const Process& process = m_processes[index];
   const ReplicationStatus status = process.node->Status();
-  LearnCommittedMembership(process, status);
+  UpdateCommittedMembership(process, status);
   if (!status.leader) {
     return;
   }
@@ -427,12 +428,12 @@
 
 void RaftCluster::CheckElectionSafety(const Process& process, const ReplicationStatus& status)
 {
-  const auto [leader, fresh] = m_leaders.emplace(status.term.Get(), process.name);
+  const auto [leader, inserted] = m_leaders.emplace(status.term.Get(), process.name);
   if (leader->second != process.name) {
-    Fail("election safety: " + leader->second + " and " + process.name + " both lead term " +
-         std::to_string(status.term.Get()));
+    RecordViolation("election safety: " + leader->second + " and " + process.name +
+                    " both lead term " + std::to_string(status.term.Get()));
   }
-  if (fresh) {
+  if (inserted) {
     CheckLeaderCompleteness(process, status);
   }
 }
@@ -447,18 +448,18 @@
   for (auto entry = m_committed.lower_bound(first); entry != m_committed.end(); ++entry) {
     const auto found = termOf.find(entry->first);
     const bool there = found != termOf.end() && found->second == entry->second.term;
-    // An entry of an early term can commit in a late one; leaders in between need not have it.
+    // An entry of an earlier term can be committed in a later one; leaders of the terms in between
+    // need not have it.
     if (!there && entry->second.inTerm < status.term.Get()) {
-      Fail("leader completeness: the leader " + process.name + " of term " +
-           std::to_string(status.term.Get()) + " lacks the committed index " +
-           std::to_string(entry->first));
+      RecordViolation("leader completeness: the leader " + process.name + " of term " +
+                      std::to_string(status.term.Get()) + " lacks the committed index " +
+                      std::to_string(entry->first));
       return;
     }
   }
 }
 
-// A leader that claims to have heard a quorum at some moment must know everything that anyone was
-// told before that moment.
+// A leader must have committed all changes that were acknowledged before its quorumHeardAt.
 void RaftCluster::CheckRead(const Process& process, const ReplicationStatus& status)
 {
   if (status.quorumHeardAt == TimePoint{}) {
@@ -474,13 +475,14 @@
     return;
   }
   if (std::prev(later)->second > status.committed.Get()) {
-    Fail("stale read: the leader " + process.name + " answers without the acknowledged index " +
-         std::to_string(std::prev(later)->second));
+    RecordViolation("stale read: the leader " + process.name +
+                    " answers without the acknowledged index " +
+                    std::to_string(std::prev(later)->second));
   }
 }
 
-// By induction: when index and term fix both an entry's content and the term before it, two logs
-// that share an entry share everything before it.
+// If index and term determine an entry's content and the term of the entry before it, then by
+// induction two logs that share an entry are identical up to it.
 void RaftCluster::CheckAppended(const Process& process, const ReadyOutput& ready)
 {
   const auto entries = process.node->Entries();
@@ -493,15 +495,16 @@
     const std::uint64_t before = entries[index - first - 1].term.Get();
     const Appended appended{ HashOf(entry.payload, 0), before };
     const auto key = std::pair(index, entry.term.Get());
-    const auto [known, fresh] = m_appended.emplace(key, appended);
-    if (!fresh && known->second != appended) {
-      Fail("log matching: two entries with index " + std::to_string(index) + " and term " +
-           std::to_string(entry.term.Get()) + " differ; the second one is at " + process.name);
+    const auto [known, inserted] = m_appended.emplace(key, appended);
+    if (!inserted && known->second != appended) {
+      RecordViolation("log matching: two entries with index " + std::to_string(index) +
+                      " and term " + std::to_string(entry.term.Get()) +
+                      " differ; the second one is at " + process.name);
     }
   }
 }
 
-void RaftCluster::LearnCommittedMembership(const Process& process, const ReplicationStatus& status)
+void RaftCluster::UpdateCommittedMembership(const Process& process, const ReplicationStatus& status)
 {
   const auto& snapshot = process.disk.snapshot;
   if (snapshot && snapshot->index.Get() > m_membershipIndex) {
@@ -509,9 +512,9 @@
     m_membershipIndex = snapshot->index.Get();
   }
   for (const LogRecord& entry : process.node->Entries()) {
-    const bool news =
+    const bool isNewer =
       entry.kind == LogEntryKind::kMembership && entry.index.Get() > m_membershipIndex;
-    if (!news || entry.index > status.committed) {
+    if (!isNewer || entry.index > status.committed) {
       continue;
     }
     const Result<Membership> decoded = DecodeMembership(entry.payload);
@@ -522,7 +525,7 @@
   }
 }
 
-// ---- what there is ----
+// ---- state ----
 
 std::optional<std::size_t> RaftCluster::Leader() const
 {
@@ -551,9 +554,9 @@
 
 bool RaftCluster::Converged() const
 {
-  const std::uint64_t chain = m_committed.empty() ? 0 : m_committed.rbegin()->second.chain;
+  const std::uint64_t stateHash = m_committed.empty() ? 0 : m_committed.rbegin()->second.stateHash;
   return std::all_of(m_processes.begin(), m_processes.end(), [&](const Process& process) {
-    return process.node && !process.frozen && process.chain == chain;
+    return process.node && !process.frozen && process.stateHash == stateHash;
   });
 }
 
--- a/tests/fakes/raft_cluster.hpp
+++ b/tests/fakes/raft_cluster.hpp
@@ -16,7 +16,7 @@
 
 namespace gooseberrysail::fakes {
 
-/// \brief What outlives a crash: only what was synced.
+/// \brief The synced state of a process, which survives a crash.
 struct FakeDisk
 {
   StorageIdentity identity;
@@ -28,26 +28,26 @@
   void StoreEntries(const std::vector<LogRecord>& added);
 };
 
-/// \brief How far a ready output is carried out when its process is killed.
+/// \brief The last step of processing a ready output before the process is killed.
 enum class CrashPoint
 {
   kBeforePersisting,
   kAfterHardState,
   kAfterSnapshot,
-  kAfterEntries, ///< Synced, nothing sent.
-  kAfterSending  ///< Sent, not applied.
+  kAfterEntries, ///< Everything is synced, nothing is sent.
+  kAfterSending  ///< The messages are sent, nothing is applied.
 };
 
-/// \brief Deliberate faults of the surroundings, to see that the checks bite.
-struct BrokenPromises
+/// \brief Violations of RaftNode's requirements, injected to verify that the checks detect them.
+struct InjectedFaults
 {
-  bool forgetVote = false; ///< Term and vote do not outlive a crash.
+  bool forgetVote = false; ///< Term and vote do not survive a crash.
   bool sendBeforePersist = false;
-  bool keepIdentity = false; ///< A wiped disk comes back under its old identity.
+  bool keepIdentity = false; ///< A wiped disk keeps its old identity.
 };
 
-/// \brief Several RaftNodes with one scripted network, clock and set of disks; checks what must
-/// hold after every step.
+/// \brief Several RaftNodes with a simulated network, clock and disks. Checks the Raft invariants
+/// after every step.
 class RaftCluster
 {
 public:
@@ -55,10 +55,10 @@
   {
     std::size_t voters = 3;
     std::uint64_t seed = 1;
-    RaftSettings settings; ///< `self` and `voters` are filled in.
-    BrokenPromises broken;
+    RaftSettings settings; ///< `self` and `voters` are overwritten.
+    InjectedFaults faults;
     bool trace = false;
-    std::size_t founders = 0; ///< How many of the processes the settings name; 0: all.
+    std::size_t founders = 0; ///< Number of processes in the settings; 0: all.
   };
 
   struct Proposal
@@ -70,15 +70,15 @@
   struct Process
   {
     std::string name;
-    std::vector<ProcessId> seeds; ///< Named by its settings; none: as all others.
+    std::vector<ProcessId> seeds; ///< Overrides RaftSettings::voters unless empty.
     FakeDisk disk;
-    std::unique_ptr<RaftNode> node; ///< Null while it is down.
+    std::unique_ptr<RaftNode> node; ///< Null while the process is down.
     bool frozen = false;
     Duration clockOffset{};
     std::uint64_t applied = 0;                  ///< Highest index applied.
-    std::uint64_t chain = 0;                    ///< Hash over all applied commands.
-    std::uint64_t restores = 0;                 ///< Snapshots restored in this life.
-    std::uint64_t replayed = 0;                 ///< Commands applied in this life.
+    std::uint64_t stateHash = 0;                ///< Hash of all applied commands.
+    std::uint64_t restores = 0;                 ///< Snapshots restored since the last start.
+    std::uint64_t appliedCommands = 0;          ///< Commands applied since the last start.
     std::map<std::uint64_t, Proposal> proposed; ///< By index.
     std::optional<CrashPoint> crashAt;
     std::vector<EventOut> events;
@@ -86,33 +86,34 @@
 
   explicit RaftCluster(Options options);
 
-  // ---- the script ----
-  void Advance(Duration step); ///< Passes time: delivers what is due and ticks every process.
+  // ---- control ----
+  void Advance(Duration step); ///< Delivers due messages and ticks all processes.
   bool RunUntil(Duration limit, const std::function<bool()>& condition);
   void Crash(std::size_t index);
   void CrashDuringNextReady(std::size_t index, CrashPoint point);
   void Restart(std::size_t index);
-  /// \brief The processes that this one's settings name from its next start on.
-  void NameSeeds(std::size_t index, std::vector<ProcessId> seeds);
+  /// \brief Sets RaftSettings::voters of a process from its next start on.
+  void SetSeeds(std::size_t index, std::vector<ProcessId> seeds);
   void Wipe(std::size_t index); ///< The process must be down.
   void Freeze(std::size_t index);
-  void Thaw(std::size_t index);
+  void Unfreeze(std::size_t index);
   void Block(std::size_t from, std::size_t to);
   void Isolate(std::size_t index);
-  void HealLinks();
+  void RestoreLinks();
   bool Propose(std::size_t index, std::uint64_t value);
 
-  /// \brief Chance of a hundred that a message is lost or doubled, and its longest delay.
+  /// \brief Sets the percentages of lost and duplicated messages, and the maximum delay.
   void SetNetwork(unsigned lossPercent, unsigned duplicatePercent, Duration longestDelay);
 
-  /// \brief Loses every message for which it returns true; null: none.
+  /// \brief Drops each message for which the filter returns true; null: none.
   void SetFilter(std::function<bool(const wire::RaftMessageT&)> filter)
   {
     m_filter = std::move(filter);
   }
 
-  // ---- what there is ----
-  [[nodiscard]] std::optional<std::size_t> Leader() const; ///< The running one of the highest term.
+  // ---- state ----
+  /// \brief The running leader with the highest term.
+  [[nodiscard]] std::optional<std::size_t> Leader() const;
   [[nodiscard]] Process& At(std::size_t index) { return m_processes[index]; }
   [[nodiscard]] std::size_t Size() const { return m_processes.size(); }
   [[nodiscard]] const std::map<std::uint64_t, std::uint64_t>& Acknowledged() const
@@ -124,16 +125,16 @@
     return m_acknowledged.contains(value);
   }
   [[nodiscard]] bool IsCommitted(std::uint64_t value) const;
-  [[nodiscard]] bool Converged() const; ///< All run and have applied everything committed.
+  [[nodiscard]] bool Converged() const; ///< All run and have applied all commands.
   [[nodiscard]] std::uint64_t HighestTerm() const;
   [[nodiscard]] std::size_t WipedAndNotVoting() const;
   [[nodiscard]] bool HasEvent(std::size_t index, EventNumber number) const;
   [[nodiscard]] std::uint64_t Random() { return m_random(); }
 
-  /// \brief The first broken invariant; "" while all hold.
+  /// \brief The first violated invariant, or "".
   [[nodiscard]] const std::string& Violation() const { return m_violation; }
   [[nodiscard]] const std::vector<std::string>& Trace() const { return m_trace; }
-  void Note(const std::string& text);
+  void AddTrace(const std::string& text);
 
 private:
   struct InFlight
@@ -148,8 +149,8 @@
   {
     std::uint64_t term = 0;
     std::uint64_t value = 0;
-    std::uint64_t chain = 0;  ///< Hash over all commands up to here.
-    std::uint64_t inTerm = 0; ///< Of the process that applied it first.
+    std::uint64_t stateHash = 0; ///< Hash of all commands up to this one.
+    std::uint64_t inTerm = 0;    ///< Term of the process that applied it first.
   };
 
   struct Appended
@@ -161,14 +162,14 @@
   };
 
   void Start(Process& process);
-  [[nodiscard]] TimePoint NowOf(const Process& process) const;
-  void Drain(std::size_t index);
-  bool CarryOut(std::size_t index, const ReadyOutput& ready); ///< false: crashed on the way.
+  [[nodiscard]] TimePoint LocalTime(const Process& process) const;
+  void ProcessReady(std::size_t index);
+  bool ExecuteReady(std::size_t index, const ReadyOutput& ready); ///< False if it crashed.
   void Persist(Process& process, const ReadyOutput& ready, CrashPoint until);
-  void Post(std::size_t from, const std::vector<wire::RaftMessageT>& messages);
+  void SendMessages(std::size_t from, const std::vector<wire::RaftMessageT>& messages);
   void Deliver();
   void Apply(Process& process, const ReadyOutput& ready);
-  void ApplyOne(Process& process, const LogRecord& entry);
+  void ApplyEntry(Process& process, const LogRecord& entry);
   void TakeSnapshot(Process& process);
   [[nodiscard]] std::size_t IndexOf(const std::string& name) const;
 
@@ -178,8 +179,8 @@
   void CheckLeaderCompleteness(const Process& process, const ReplicationStatus& status);
   void CheckRead(const Process& process, const ReplicationStatus& status);
   void CheckAppended(const Process& process, const ReadyOutput& ready);
-  void LearnCommittedMembership(const Process& process, const ReplicationStatus& status);
-  void Fail(const std::string& what);
+  void UpdateCommittedMembership(const Process& process, const ReplicationStatus& status);
+  void RecordViolation(const std::string& what);
 
   Options m_options;
   std::vector<ProcessId> m_names;
--- a/tests/unit/raft_failure_test.cpp
+++ b/tests/unit/raft_failure_test.cpp
@@ -13,7 +13,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr Duration kLongEnough = seconds(10);
+constexpr Duration kTimeout = seconds(10);
 
 RaftCluster MakeCluster(std::size_t voters, std::uint64_t seed = 1)
 {
@@ -23,10 +23,10 @@
   return RaftCluster(options);
 }
 
-// Runs until someone leads and its first entry committed everywhere.
+// Runs until a leader has committed an entry of its own term.
 std::size_t WaitForLeader(RaftCluster& cluster)
 {
-  const bool found = cluster.RunUntil(kLongEnough, [&] {
+  const bool found = cluster.RunUntil(kTimeout, [&] {
     const auto leader = cluster.Leader();
     return leader && cluster.At(*leader).node->Status().quorumHeardAt != TimePoint{};
   });
@@ -37,7 +37,7 @@
 bool CommitEverywhere(RaftCluster& cluster, std::uint64_t value)
 {
   const std::size_t leader = WaitForLeader(cluster);
-  return cluster.Propose(leader, value) && cluster.RunUntil(kLongEnough, [&] {
+  return cluster.Propose(leader, value) && cluster.RunUntil(kTimeout, [&] {
     return cluster.IsAcknowledged(value) && cluster.Converged();
   });
 }
@@ -47,13 +47,13 @@
   return { (index + 1) % 3, (index + 2) % 3 };
 }
 
-TEST(RaftFailure, TheLeaderIsKilledInTheMiddleOfAChange)
+TEST(RaftFailure, ALeaderKilledDuringAChange)
 {
-  // Symptom: a change that was acknowledged is gone, or one that was not counts on some processes
+  // Symptom: an acknowledged change is lost, or an unacknowledged one is applied on some processes
   // only.
-  // Sequence: the leader takes a change and is killed before, while or after storing and sending
-  // it; another process takes over; the killed one comes back.
-  // Cause: acknowledging before a majority synced, or an old leader that keeps its own tail.
+  // Sequence: the leader receives a change and is killed before, during or after storing and
+  // sending it; another process becomes leader; the killed one restarts.
+  // Cause: acknowledging before a majority has synced, or an old leader that keeps its log tail.
   for (int point = 0; point <= static_cast<int>(CrashPoint::kAfterSending); ++point) {
     SECTION("killed at point " + std::to_string(point))
     {
@@ -68,7 +68,7 @@
       ASSERT_TRUE(cluster.Propose(*cluster.Leader(), 3));
       cluster.Restart(old);
       ASSERT_TRUE(cluster.RunUntil(
-        kLongEnough, [&] { return cluster.IsAcknowledged(3) && cluster.Converged(); }));
+        kTimeout, [&] { return cluster.IsAcknowledged(3) && cluster.Converged(); }));
       EXPECT_TRUE(cluster.IsCommitted(1));
       EXPECT_EQ(cluster.Violation(), "");
     }
@@ -77,11 +77,11 @@
 
 TEST(RaftFailure, AnEntryOfAnEarlierTermIsNotCommittedByCountingAlone)
 {
-  // Symptom: an entry that a majority holds, and that was applied, is replaced.
+  // Symptom: an entry that a majority stores, and that was applied, is replaced.
   // Sequence: a leader stores two entries on one follower only, and both stop. Another leader
-  // appends one entry of its own and stops. The first two come back, lead, and bring the older of
-  // the two entries to a third process, but none of their own term; then they stop again.
-  // Cause: the second leader, with the later term at the end of its log, wins and replaces it.
+  // appends one entry of its own and stops. The first two restart, win an election and replicate
+  // the older entry to a third process, but no entry of the new term; then they stop again.
+  // Cause: the second leader, whose last entry has a later term, wins and replaces the older entry.
   RaftCluster::Options options;
   options.voters = 5;
   options.settings.maxAppendBytes = 8; // One command in each message.
@@ -112,11 +112,11 @@
   SECTION("another leader appends an entry that reaches nobody")
   {
     cluster.SetFilter(isAppend);
-    ASSERT_TRUE(cluster.RunUntil(kLongEnough, [&] { return cluster.Leader().has_value(); }));
+    ASSERT_TRUE(cluster.RunUntil(kTimeout, [&] { return cluster.Leader().has_value(); }));
     second = *cluster.Leader();
     ASSERT_EQ(lastOf(second), older);
     cluster.Crash(second);
-    cluster.RunUntil(milliseconds(20), [] { return false; }); // Nothing of it is on its way.
+    cluster.RunUntil(milliseconds(20), [] { return false; }); // No message of it is in flight.
   }
   std::size_t third = 0;
   while (third == first || third == follower || third == second) {
@@ -131,7 +131,7 @@
     });
     cluster.Restart(first);
     cluster.Restart(follower);
-    ASSERT_TRUE(cluster.RunUntil(kLongEnough, [&] { return lastOf(third) == older; }));
+    ASSERT_TRUE(cluster.RunUntil(kTimeout, [&] { return lastOf(third) == older; }));
     cluster.RunUntil(milliseconds(100), [] { return false; });
     EXPECT_EQ(cluster.At(third).node->Entries().back().term, firstTerm);
     EXPECT_FALSE(cluster.IsCommitted(2));
@@ -150,12 +150,12 @@
   }
 }
 
-TEST(RaftFailure, AVoterFrozenPastSeveralTermsDisturbsNobodyWhenItThaws)
+TEST(RaftFailure, AVoterFrozenForSeveralTermsDoesNotDeposeTheLeader)
 {
-  // Symptom: control stops for an election each time a suspended VM wakes up.
-  // Sequence: a voter is frozen; the others go through several terms; it thaws with an expired
+  // Symptom: control is interrupted by an election each time a suspended VM resumes.
+  // Sequence: a voter is frozen; the others go through several terms; it resumes with an expired
   // election timer.
-  // Cause: campaigning with a new term without asking first.
+  // Cause: campaigning with a new term without a pre-vote.
   RaftCluster cluster = MakeCluster(5);
   ASSERT_TRUE(CommitEverywhere(cluster, 1));
   const std::size_t frozen = (*cluster.Leader() + 1) % 5;
@@ -171,7 +171,7 @@
   const std::size_t leader = *cluster.Leader();
   const std::uint64_t term = cluster.HighestTerm();
   EXPECT_GE(term, cluster.At(frozen).node->Status().term.Get() + 3);
-  cluster.Thaw(frozen);
+  cluster.Unfreeze(frozen);
   cluster.RunUntil(seconds(5), [] { return false; });
   EXPECT_TRUE(cluster.Converged());
   EXPECT_EQ(cluster.HighestTerm(), term);
@@ -179,29 +179,29 @@
   EXPECT_EQ(cluster.Violation(), "");
 }
 
-TEST(RaftFailure, AVoterThatWasCutOffDisturbsNobodyWhenItComesBack)
+TEST(RaftFailure, AnIsolatedVoterDoesNotDeposeTheLeaderWhenReconnected)
 {
-  // Symptom: the leader steps down when a cut-off control VM is reached again.
-  // Sequence: a voter is cut off for ten seconds, campaigns in vain, and is connected again.
-  // Cause: it raised its term with each campaign.
+  // Symptom: the leader steps down when an isolated control VM is reconnected.
+  // Sequence: a voter is isolated for ten seconds, campaigns without success, and is reconnected.
+  // Cause: it increased its term with each campaign.
   RaftCluster cluster = MakeCluster(3);
   ASSERT_TRUE(CommitEverywhere(cluster, 1));
   const std::size_t leader = *cluster.Leader();
   const std::uint64_t term = cluster.HighestTerm();
   cluster.Isolate(OthersOfThree(leader)[0]);
   cluster.RunUntil(seconds(10), [] { return false; });
-  cluster.HealLinks();
+  cluster.RestoreLinks();
   cluster.RunUntil(seconds(5), [] { return false; });
   EXPECT_EQ(cluster.HighestTerm(), term);
   EXPECT_EQ(cluster.Leader(), leader);
   EXPECT_TRUE(CommitEverywhere(cluster, 2));
 }
 
-TEST(RaftFailure, AFrozenLeaderAnswersNothingAfterItThaws)
+TEST(RaftFailure, AFrozenLeaderDoesNotServeAfterItResumes)
 {
-  // Symptom: a process that led before a pause answers reads or changes from its old state.
-  // Sequence: the leader is frozen; the others elect another one and commit a change; it thaws.
-  // Cause: trusting a leadership that was not confirmed since the pause.
+  // Symptom: a process that led before a pause serves reads or accepts changes with its old state.
+  // Sequence: the leader is frozen; the others elect another one and commit a change; it resumes.
+  // Cause: relying on a leadership that was not confirmed since the pause.
   RaftCluster cluster = MakeCluster(3);
   ASSERT_TRUE(CommitEverywhere(cluster, 1));
   const std::size_t old = *cluster.Leader();
@@ -209,8 +209,8 @@
   const std::size_t next = WaitForLeader(cluster);
   ASSERT_NE(next, old);
   ASSERT_TRUE(cluster.Propose(next, 2));
-  ASSERT_TRUE(cluster.RunUntil(kLongEnough, [&] { return cluster.IsAcknowledged(2); }));
-  cluster.Thaw(old);
+  ASSERT_TRUE(cluster.RunUntil(kTimeout, [&] { return cluster.IsAcknowledged(2); }));
+  cluster.Unfreeze(old);
   cluster.Propose(old, 3);
   cluster.Advance(milliseconds(1));
   EXPECT_FALSE(cluster.At(old).node->Status().leader);
@@ -222,33 +222,33 @@
 
 TEST(RaftFailure, AMinorityAcceptsNothing)
 {
-  // Symptom: an operator's change is accepted on the small side of a partition and vanishes.
-  // Sequence: the leader is cut off from both others; changes are proposed on both sides.
-  // Cause: a leader that does not notice that it lost its quorum.
+  // Symptom: an operator's change is accepted by the minority of a partition and lost.
+  // Sequence: the leader is isolated from both others; changes are proposed on both sides.
+  // Cause: a leader that does not detect the loss of its quorum.
   RaftCluster cluster = MakeCluster(3);
   ASSERT_TRUE(CommitEverywhere(cluster, 1));
   const std::size_t old = *cluster.Leader();
   cluster.Isolate(old);
-  SECTION("at first it still believes that it leads: accepted, never acknowledged")
+  SECTION("the old leader accepts a change at first, but does not acknowledge it")
   {
     EXPECT_TRUE(cluster.Propose(old, 2));
   }
-  SECTION("after an election timeout it refuses")
+  SECTION("after an election timeout it rejects changes")
   {
     cluster.RunUntil(milliseconds(1100), [] { return false; });
     EXPECT_FALSE(cluster.Propose(old, 3));
     EXPECT_TRUE(cluster.HasEvent(old, EventNumber::kRaftSteppedDown));
   }
-  SECTION("the majority goes on")
+  SECTION("the majority elects a leader and acknowledges a change")
   {
-    ASSERT_TRUE(cluster.RunUntil(kLongEnough, [&] { return cluster.Leader().has_value(); }));
+    ASSERT_TRUE(cluster.RunUntil(kTimeout, [&] { return cluster.Leader().has_value(); }));
     ASSERT_NE(*cluster.Leader(), old);
     ASSERT_TRUE(cluster.Propose(*cluster.Leader(), 4));
-    ASSERT_TRUE(cluster.RunUntil(kLongEnough, [&] { return cluster.IsAcknowledged(4); }));
+    ASSERT_TRUE(cluster.RunUntil(kTimeout, [&] { return cluster.IsAcknowledged(4); }));
   }
-  SECTION("joined again, the minority's change is gone everywhere")
+  SECTION("after the partition the minority's change is not committed anywhere")
   {
-    cluster.HealLinks();
+    cluster.RestoreLinks();
     EXPECT_TRUE(CommitEverywhere(cluster, 5));
     EXPECT_FALSE(cluster.IsAcknowledged(2));
     EXPECT_FALSE(cluster.IsCommitted(2));
@@ -256,77 +256,77 @@
   }
 }
 
-TEST(RaftFailure, ALeaderThatIsHeardButHearsNobodyStepsDown)
+TEST(RaftFailure, ALeaderThatReceivesNoMessagesStepsDown)
 {
-  // Symptom: changes hang for ever although two of three processes are well.
-  // Sequence: nothing reaches the leader any more, but its heartbeats still go out.
-  // Cause: followers that see heartbeats never elect; only the leader can notice.
+  // Symptom: changes hang forever although two of three processes are healthy.
+  // Sequence: no messages reach the leader, but its heartbeats reach the followers.
+  // Cause: followers that receive heartbeats start no election; only the leader can detect this.
   RaftCluster cluster = MakeCluster(3);
   ASSERT_TRUE(CommitEverywhere(cluster, 1));
-  const std::size_t deaf = *cluster.Leader();
-  cluster.Block(OthersOfThree(deaf)[0], deaf);
-  cluster.Block(OthersOfThree(deaf)[1], deaf);
-  ASSERT_TRUE(cluster.RunUntil(kLongEnough, [&] {
+  const std::size_t unreachable = *cluster.Leader();
+  cluster.Block(OthersOfThree(unreachable)[0], unreachable);
+  cluster.Block(OthersOfThree(unreachable)[1], unreachable);
+  ASSERT_TRUE(cluster.RunUntil(kTimeout, [&] {
     const auto leader = cluster.Leader();
-    return leader && *leader != deaf;
+    return leader && *leader != unreachable;
   }));
   ASSERT_TRUE(cluster.Propose(*cluster.Leader(), 2));
-  EXPECT_TRUE(cluster.RunUntil(kLongEnough, [&] { return cluster.IsAcknowledged(2); }));
+  EXPECT_TRUE(cluster.RunUntil(kTimeout, [&] { return cluster.IsAcknowledged(2); }));
   EXPECT_EQ(cluster.Violation(), "");
 }
 
 TEST(RaftFailure, AWipedDiskDoesNotVoteUnderItsOldName)
 {
-  // Symptom: an acknowledged change is gone although only one disk was lost.
-  // Sequence: a change commits on two of three processes; one of these loses its disk, the other
-  // one stops. The third process and the empty disk are a majority by name.
-  // Cause: counting the vote of a disk that has forgotten what it acknowledged.
+  // Symptom: an acknowledged change is lost although only one disk was lost.
+  // Sequence: a change is committed on two of three processes; one of these loses its disk, the
+  // other one stops. The third process and the one with the empty disk are a majority by name.
+  // Cause: counting the vote of a process that lost the entries that it acknowledged.
   RaftCluster cluster = MakeCluster(3);
   ASSERT_TRUE(CommitEverywhere(cluster, 1));
   const std::size_t leader = *cluster.Leader();
   const auto [lagging, lost] = OthersOfThree(leader);
   cluster.Isolate(lagging);
   ASSERT_TRUE(cluster.Propose(leader, 2));
-  ASSERT_TRUE(cluster.RunUntil(kLongEnough, [&] { return cluster.IsAcknowledged(2); }));
+  ASSERT_TRUE(cluster.RunUntil(kTimeout, [&] { return cluster.IsAcknowledged(2); }));
   SECTION("the disk is lost, the leader stops")
   {
     cluster.Crash(lost);
     cluster.Wipe(lost);
     cluster.Crash(leader);
-    cluster.HealLinks();
+    cluster.RestoreLinks();
     cluster.Restart(lost);
-    EXPECT_FALSE(cluster.RunUntil(kLongEnough, [&] { return cluster.Leader().has_value(); }));
+    EXPECT_FALSE(cluster.RunUntil(kTimeout, [&] { return cluster.Leader().has_value(); }));
     EXPECT_TRUE(cluster.HasEvent(lost, EventNumber::kRaftWaitingToJoin));
   }
-  SECTION("the leader comes back and lets the new disk in by a committed change")
+  SECTION("the leader restarts and adds the new disk by a membership change")
   {
     cluster.Restart(leader);
     EXPECT_EQ(WaitForLeader(cluster), leader);
     ASSERT_TRUE(cluster.RunUntil(
-      kLongEnough, [&] { return cluster.WipedAndNotVoting() == 0 && cluster.Converged(); }));
+      kTimeout, [&] { return cluster.WipedAndNotVoting() == 0 && cluster.Converged(); }));
     EXPECT_TRUE(cluster.HasEvent(leader, EventNumber::kRaftNewDisk));
   }
-  SECTION("it is a full voter again: the leader may stop now")
+  SECTION("the process is a voter again, so the leader may stop")
   {
     cluster.Crash(leader);
     EXPECT_TRUE(cluster.Propose(WaitForLeader(cluster), 3));
-    ASSERT_TRUE(cluster.RunUntil(kLongEnough, [&] { return cluster.IsAcknowledged(3); }));
+    ASSERT_TRUE(cluster.RunUntil(kTimeout, [&] { return cluster.IsAcknowledged(3); }));
     EXPECT_TRUE(cluster.IsCommitted(2));
     EXPECT_EQ(cluster.Violation(), "");
   }
 }
 
-TEST(RaftFailure, AWipedMajorityDoesNotStartAfresh)
+TEST(RaftFailure, AWipedMajorityDoesNotFoundANewCluster)
 {
-  // Symptom: control comes up with an empty catalogue while the last good disk is elsewhere.
-  // Sequence: two of three disks are lost while the third process is down; both start again.
-  // Cause: founding a cluster because a majority is empty.
+  // Symptom: control starts with an empty catalogue although one disk still has the data.
+  // Sequence: two of three disks are lost while the third process is down; both processes restart.
+  // Cause: founding a cluster because a majority of the disks is empty.
   RaftCluster cluster = MakeCluster(3);
   ASSERT_TRUE(CommitEverywhere(cluster, 1));
   for (const std::size_t index : { 0U, 1U, 2U }) {
     cluster.Crash(index);
   }
-  SECTION("the two empty ones wait")
+  SECTION("the two empty processes wait")
   {
     for (const std::size_t index : { 0U, 1U }) {
       cluster.Wipe(index);
@@ -334,14 +334,14 @@
     }
     cluster.Restart(0);
     cluster.Restart(1);
-    EXPECT_FALSE(cluster.RunUntil(kLongEnough, [&] { return cluster.Leader().has_value(); }));
+    EXPECT_FALSE(cluster.RunUntil(kTimeout, [&] { return cluster.Leader().has_value(); }));
     EXPECT_FALSE(cluster.HasEvent(0, EventNumber::kRaftFounded));
     EXPECT_TRUE(cluster.HasEvent(0, EventNumber::kRaftWaitingToJoin));
   }
-  SECTION("nor with the third one, which keeps its data")
+  SECTION("with the third process no leader is elected either, and its data is kept")
   {
     cluster.Restart(2);
-    EXPECT_FALSE(cluster.RunUntil(kLongEnough, [&] { return cluster.Leader().has_value(); }));
+    EXPECT_FALSE(cluster.RunUntil(kTimeout, [&] { return cluster.Leader().has_value(); }));
     EXPECT_FALSE(cluster.At(2).disk.entries.empty());
   }
 }
@@ -356,11 +356,11 @@
   EXPECT_TRUE(cluster.HasEvent(0, EventNumber::kRaftFounded));
 }
 
-TEST(RaftFailure, AProcessHundredsOfChangesBehindTakesTheSnapshot)
+TEST(RaftFailure, AProcessFarBehindInstallsTheSnapshot)
 {
-  // Symptom: a control VM that was away for long never catches up, or replays everything.
-  // Sequence: a voter is down during 700 changes; the others have compacted their logs.
-  // Cause: the entries that it lacks are gone, so the snapshot must be sent, in several chunks.
+  // Symptom: a control VM that was down for long never catches up, or replays all changes.
+  // Sequence: a voter is down during 700 changes; the others compact their logs.
+  // Cause: the missing entries no longer exist, so a snapshot must be sent in several chunks.
   RaftCluster::Options options;
   options.settings.snapshotEvery = 100;
   options.settings.keepEntries = 50;
@@ -368,18 +368,18 @@
   RaftCluster cluster(options);
   ASSERT_TRUE(CommitEverywhere(cluster, 1));
   const std::size_t leader = *cluster.Leader();
-  const std::size_t away = OthersOfThree(leader)[0];
-  cluster.Crash(away);
+  const std::size_t down = OthersOfThree(leader)[0];
+  cluster.Crash(down);
   for (std::uint64_t value = 2; value < 702; ++value) {
     ASSERT_TRUE(cluster.Propose(leader, value));
     cluster.Advance(milliseconds(5));
   }
-  cluster.Restart(away);
-  ASSERT_TRUE(cluster.RunUntil(kLongEnough,
-                               [&] { return cluster.IsAcknowledged(701) && cluster.Converged(); }));
-  EXPECT_GE(cluster.At(away).restores, 1U);
-  EXPECT_LT(cluster.At(away).replayed, 160U);
-  EXPECT_TRUE(cluster.HasEvent(away, EventNumber::kRaftSnapshotReceived));
+  cluster.Restart(down);
+  ASSERT_TRUE(
+    cluster.RunUntil(kTimeout, [&] { return cluster.IsAcknowledged(701) && cluster.Converged(); }));
+  EXPECT_GE(cluster.At(down).restores, 1U);
+  EXPECT_LT(cluster.At(down).appliedCommands, 160U);
+  EXPECT_TRUE(cluster.HasEvent(down, EventNumber::kRaftSnapshotReceived));
   EXPECT_EQ(cluster.Violation(), "");
 }
 
@@ -390,11 +390,11 @@
   const std::size_t leader = *cluster.Leader();
   const std::size_t first = (leader + 1) % 5;
   const std::size_t second = (leader + 2) % 5;
-  SECTION("two voters stop for good and are taken out, one change after the other")
+  SECTION("two voters stop permanently and are removed one at a time")
   {
-    for (const std::size_t gone : { first, second }) {
-      cluster.Crash(gone);
-      const ProcessId name(cluster.At(gone).name);
+    for (const std::size_t stopped : { first, second }) {
+      cluster.Crash(stopped);
+      const ProcessId name(cluster.At(stopped).name);
       EXPECT_TRUE(cluster.At(leader).node->RemoveMember(name));
       const ProcessId other(cluster.At((leader + 3) % 5).name);
       const Result<LogIndex> tooEarly = cluster.At(leader).node->RemoveMember(other);
@@ -404,11 +404,11 @@
     }
     EXPECT_EQ(cluster.At(leader).node->CurrentMembership().VoterCount(), 3U);
   }
-  SECTION("a third loss leaves a majority of the remaining three")
+  SECTION("after a third failure two of the remaining three voters are a majority")
   {
     cluster.Crash((leader + 3) % 5);
     ASSERT_TRUE(cluster.Propose(leader, 2));
-    EXPECT_TRUE(cluster.RunUntil(kLongEnough, [&] { return cluster.IsAcknowledged(2); }));
+    EXPECT_TRUE(cluster.RunUntil(kTimeout, [&] { return cluster.IsAcknowledged(2); }));
     EXPECT_EQ(cluster.Violation(), "");
   }
 }
@@ -416,25 +416,26 @@
 TEST(RaftFailure, MessagesOfAnotherClusterAreDropped)
 {
   // Symptom: two clusters overwrite each other's logs.
-  // Sequence: a process of another cluster was given our addresses and sends with a higher term.
-  // Cause: terms and indexes say nothing about the cluster that they belong to.
+  // Sequence: a process of another cluster is configured with this cluster's addresses and sends a
+  // message with a higher term.
+  // Cause: terms and indexes do not identify the cluster that they belong to.
   RaftCluster cluster = MakeCluster(3);
   ASSERT_TRUE(CommitEverywhere(cluster, 1));
   const std::size_t leader = *cluster.Leader();
   const std::uint64_t term = cluster.HighestTerm();
-  wire::RaftMessageT stranger;
-  stranger.kind = wire::RaftKind::Append;
-  stranger.term = term + 10;
-  stranger.from = cluster.At(OthersOfThree(leader)[0]).name;
-  stranger.to = cluster.At(leader).name;
-  stranger.cluster = 4711;
-  cluster.At(leader).node->Step(TimePoint{}, stranger);
+  wire::RaftMessageT foreign;
+  foreign.kind = wire::RaftKind::Append;
+  foreign.term = term + 10;
+  foreign.from = cluster.At(OthersOfThree(leader)[0]).name;
+  foreign.to = cluster.At(leader).name;
+  foreign.cluster = 4711;
+  cluster.At(leader).node->Step(TimePoint{}, foreign);
   EXPECT_TRUE(CommitEverywhere(cluster, 2));
   EXPECT_EQ(cluster.HighestTerm(), term);
   EXPECT_TRUE(cluster.HasEvent(leader, EventNumber::kRaftOtherCluster));
 }
 
-TEST(RaftFailure, ProposalsOverTheLimitsAreRefused)
+TEST(RaftFailure, ProposalsOverTheLimitsAreRejected)
 {
   RaftCluster::Options options;
   options.settings.maxCommandBytes = 100;
@@ -447,7 +448,7 @@
   EXPECT_EQ(node.Propose(std::vector<std::uint8_t>(100)).error().code, ErrorCode::kUnavailable);
   const Result<LogIndex> elsewhere =
     cluster.At(OthersOfThree(leader)[0]).node->Propose(std::vector<std::uint8_t>(1));
-  EXPECT_EQ(elsewhere.error().peer, cluster.At(leader).name) << "names whom to ask instead";
+  EXPECT_EQ(elsewhere.error().peer, cluster.At(leader).name) << "the error names the leader";
 }
 
 } // namespace
--- a/tests/unit/raft_joining_test.cpp
+++ b/tests/unit/raft_joining_test.cpp
@@ -9,9 +9,9 @@
 using fakes::RaftCluster;
 using std::chrono::seconds;
 
-constexpr Duration kLongEnough = seconds(20);
+constexpr Duration kTimeout = seconds(20);
 
-/// Three processes found the cluster; further ones wait for a place.
+/// The first `founders` processes found the cluster; the others wait to join.
 RaftCluster MakeCluster(std::size_t founders, std::size_t all)
 {
   RaftCluster::Options options;
@@ -34,51 +34,50 @@
 
 std::size_t WaitForLeader(RaftCluster& cluster)
 {
-  EXPECT_TRUE(cluster.RunUntil(kLongEnough, [&] {
+  EXPECT_TRUE(cluster.RunUntil(kTimeout, [&] {
     const auto leader = cluster.Leader();
     return leader && cluster.At(*leader).node->Status().quorumHeardAt != TimePoint{};
   }));
   return cluster.Leader().value_or(0);
 }
 
-// Symptom: after a machine of the core was replaced at another address, the next loss ended all
-// changes.
-// Sequence: a voter is gone for good; an empty process with a new name comes.
-// Cause: only processes of the settings could vote.
-TEST(RaftJoining, ANewcomerTakesTheVoteOfOneThatIsGone)
+// Symptom: after a control VM was replaced at another address, the next failure blocks all changes.
+// Sequence: a voter fails permanently; an empty process with a new name starts.
+// Cause: only processes in the settings can vote.
+TEST(RaftJoining, ANewProcessReplacesAFailedVoter)
 {
   RaftCluster cluster = MakeCluster(3, 4);
   cluster.Crash(3);
   const std::size_t leader = WaitForLeader(cluster);
   EXPECT_TRUE(cluster.Propose(leader, 1));
-  EXPECT_TRUE(cluster.RunUntil(kLongEnough, [&] { return cluster.IsAcknowledged(1); }));
-  const std::size_t gone = (leader + 1) % 3;
-  const std::string goneName = cluster.At(gone).name;
-  cluster.Crash(gone);
+  EXPECT_TRUE(cluster.RunUntil(kTimeout, [&] { return cluster.IsAcknowledged(1); }));
+  const std::size_t failed = (leader + 1) % 3;
+  const std::string failedName = cluster.At(failed).name;
+  cluster.Crash(failed);
   cluster.Restart(3);
   const std::string newName = cluster.At(3).name;
-  EXPECT_TRUE(cluster.RunUntil(kLongEnough, [&] {
+  EXPECT_TRUE(cluster.RunUntil(kTimeout, [&] {
     const std::size_t now = cluster.Leader().value_or(leader);
-    return IsVoter(cluster, now, newName) && !IsVoter(cluster, now, goneName);
+    return IsVoter(cluster, now, newName) && !IsVoter(cluster, now, failedName);
   }));
-  SECTION("and another loss is borne")
+  SECTION("another failure is tolerated")
   {
     const std::size_t now = WaitForLeader(cluster);
-    const std::size_t other = now == 3 ? 3 - gone : 3;
+    const std::size_t other = now == 3 ? 3 - failed : 3;
     EXPECT_EQ(VotersAt(cluster, now), 3U);
-    cluster.Crash(other == 3 && now != 3 ? (3 - gone - now) : other);
+    cluster.Crash(other == 3 && now != 3 ? (3 - failed - now) : other);
     const std::size_t next = WaitForLeader(cluster);
     EXPECT_TRUE(cluster.Propose(next, 2));
-    EXPECT_TRUE(cluster.RunUntil(kLongEnough, [&] { return cluster.IsAcknowledged(2); }));
+    EXPECT_TRUE(cluster.RunUntil(kTimeout, [&] { return cluster.IsAcknowledged(2); }));
   }
 }
 
-TEST(RaftJoining, WhileAllVotersLiveANewcomerOnlyWaits)
+TEST(RaftJoining, ANewProcessIsNoVoterWhileAllVotersAreUp)
 {
   RaftCluster cluster = MakeCluster(3, 4);
   const std::size_t leader = WaitForLeader(cluster);
   const std::string newName = cluster.At(3).name;
-  EXPECT_TRUE(cluster.RunUntil(kLongEnough, [&] {
+  EXPECT_TRUE(cluster.RunUntil(kTimeout, [&] {
     const std::size_t now = cluster.Leader().value_or(leader);
     return cluster.At(now).node->CurrentMembership().Find(ProcessId(newName)) != nullptr;
   }));
@@ -88,10 +87,10 @@
   EXPECT_FALSE(IsVoter(cluster, now, newName));
 }
 
-// Symptom: two clusters, each with its own configuration.
-// Sequence: all disks of the seeds are lost long after the first start, and all processes restart.
-// Cause: empty disks that were taken for a first start.
-TEST(RaftJoining, NobodyFoundsASecondCluster)
+// Symptom: two clusters exist, each with its own configuration.
+// Sequence: the disks of all seeds are lost long after the first start, and all processes restart.
+// Cause: treating empty disks as a first start.
+TEST(RaftJoining, EmptyDisksDoNotFoundASecondCluster)
 {
   RaftCluster::Options options;
   options.voters = 3;
@@ -103,26 +102,27 @@
   EXPECT_FALSE(cluster.Leader().has_value());
 }
 
-/// \brief One seeded run: voters go for good one after the other, each replaced by an empty process
-/// with a new name, while messages are lost, doubled and late and the living are killed and frozen.
+/// \brief One seeded run. Voters fail permanently one after the other and are each replaced by an
+/// empty process with a new name, while messages are lost, duplicated and delayed, and running
+/// processes are killed and frozen.
 class Replacements
 {
 public:
   explicit Replacements(std::uint64_t seed)
     : m_cluster(MakeOptions(seed))
   {
-    for (std::size_t newcomer = kFounders; newcomer < kProcesses; ++newcomer) {
-      m_cluster.Crash(newcomer);
+    for (std::size_t replacement = kFounders; replacement < kProcesses; ++replacement) {
+      m_cluster.Crash(replacement);
     }
   }
 
-  /// \returns The broken invariant or what did not come about; "" when all held.
+  /// \returns The violated invariant or the missing progress; "" if the run succeeded.
   std::string Run()
   {
-    WaitForLeader(m_cluster); // The first start needs every founder.
-    for (std::size_t newcomer = kFounders; newcomer < kProcesses; ++newcomer) {
-      Disturb();
-      const std::string replaced = ReplaceOne(newcomer);
+    WaitForLeader(m_cluster); // Founding needs every founder.
+    for (std::size_t replacement = kFounders; replacement < kProcesses; ++replacement) {
+      InjectFaults();
+      const std::string replaced = ReplaceOne(replacement);
       if (!replaced.empty()) {
         return replaced;
       }
@@ -134,7 +134,7 @@
   static constexpr std::size_t kFounders = 3;
   static constexpr std::size_t kProcesses = 6;
   static constexpr int kSteps = 30;
-  static constexpr Duration kPatience = seconds(60);
+  static constexpr Duration kRecoveryTimeout = seconds(60);
 
   static RaftCluster::Options MakeOptions(std::uint64_t seed)
   {
@@ -150,8 +150,8 @@
 
   [[nodiscard]] bool IsUp(std::size_t index) { return m_cluster.At(index).node != nullptr; }
 
-  /// Some steps of changes and faults among those that are in use.
-  void Disturb()
+  /// Proposes changes and injects faults for some steps.
+  void InjectFaults()
   {
     m_cluster.SetNetwork(static_cast<unsigned>(m_cluster.Random() % 20),
                          static_cast<unsigned>(m_cluster.Random() % 20),
@@ -167,17 +167,17 @@
       } else if (choice < 70 && IsUp(target)) {
         m_cluster.Freeze(target);
       } else if (choice < 80) {
-        ThawAll();
+        UnfreezeAll();
       }
       m_cluster.Advance(std::chrono::milliseconds(10 + m_cluster.Random() % 100));
     }
-    ThawAll();
+    UnfreezeAll();
   }
 
-  void ThawAll()
+  void UnfreezeAll()
   {
     for (std::size_t index = 0; index < m_cluster.Size(); ++index) {
-      m_cluster.Thaw(index);
+      m_cluster.Unfreeze(index);
     }
   }
 
@@ -190,37 +190,37 @@
     }
   }
 
-  /// A voter that lives goes for good, now and then the leader; the newcomer must get its place.
-  std::string ReplaceOne(std::size_t newcomer)
+  /// Stops a random voter, possibly the leader, permanently; the new process must replace it.
+  std::string ReplaceOne(std::size_t replacement)
   {
-    std::vector<std::size_t> living;
+    std::vector<std::size_t> running;
     std::vector<ProcessId> seeds;
-    for (std::size_t index = 0; index < newcomer; ++index) {
+    for (std::size_t index = 0; index < replacement; ++index) {
       if (IsUp(index)) {
-        living.push_back(index);
+        running.push_back(index);
         seeds.emplace_back(m_cluster.At(index).name);
       }
     }
-    // Seeds are those of a moment ago: one of them is dead by now.
-    m_cluster.NameSeeds(newcomer, seeds);
-    m_cluster.Crash(living[m_cluster.Random() % living.size()]);
+    // The seeds were collected before the crash, so one of them is down.
+    m_cluster.SetSeeds(replacement, seeds);
+    m_cluster.Crash(running[m_cluster.Random() % running.size()]);
     m_cluster.Advance(std::chrono::milliseconds(m_cluster.Random() % 3000));
-    m_cluster.Restart(newcomer);
-    const std::string name = m_cluster.At(newcomer).name;
-    const bool voted = m_cluster.RunUntil(kPatience, [&] {
+    m_cluster.Restart(replacement);
+    const std::string name = m_cluster.At(replacement).name;
+    const bool becameVoter = m_cluster.RunUntil(kRecoveryTimeout, [&] {
       const auto leader = m_cluster.Leader();
       return !m_cluster.Violation().empty() || (leader && IsVoter(m_cluster, *leader, name));
     });
     return !m_cluster.Violation().empty() ? m_cluster.Violation()
-           : voted                        ? ""
-                                          : name + " got no vote";
+           : becameVoter                  ? ""
+                                          : name + " did not become a voter";
   }
 
   std::string CheckEnd()
   {
     m_cluster.SetNetwork(0, 0, std::chrono::milliseconds(5));
     const std::uint64_t last = ++m_lastValue;
-    const bool served = m_cluster.RunUntil(kPatience, [&] {
+    const bool acknowledged = m_cluster.RunUntil(kRecoveryTimeout, [&] {
       const auto leader = m_cluster.Leader();
       return (leader && m_cluster.Propose(*leader, last) && false) ||
              m_cluster.IsAcknowledged(last) || !m_cluster.Violation().empty();
@@ -228,31 +228,32 @@
     if (!m_cluster.Violation().empty()) {
       return m_cluster.Violation();
     }
-    if (!served) {
-      return "no change is acknowledged in the end";
+    if (!acknowledged) {
+      return "no change was acknowledged after the replacements";
     }
     for (const auto& [value, index] : m_cluster.Acknowledged()) {
       if (!m_cluster.IsCommitted(value)) {
-        return "the acknowledged change " + std::to_string(value) + " is gone";
+        return "the acknowledged change " + std::to_string(value) + " is lost";
       }
     }
     const std::size_t leader = *m_cluster.Leader();
-    return VotersAt(m_cluster, leader) == kFounders ? "" : "too many or too few voters";
+    return VotersAt(m_cluster, leader) == kFounders ? "" : "wrong number of voters";
   }
 
   RaftCluster m_cluster;
   std::uint64_t m_lastValue = 0;
 };
 
-// Symptom: after the third replaced machine an acknowledged change is missing, or nothing is
-// acknowledged any more. Sequence: each voter of the first start is replaced by an empty process.
-// Cause: a change of the voters that overtakes another, or an empty disk that votes too early.
+// Symptom: after the third replacement an acknowledged change is missing, or no change is
+// acknowledged any more.
+// Sequence: each founder is replaced by an empty process.
+// Cause: overlapping membership changes, or an empty disk that votes too early.
 TEST(RaftJoining, AllFoundersAreReplacedOneAfterTheOther)
 {
   constexpr std::uint64_t kSeeds = 300;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    const std::string broken = Replacements(seed).Run();
-    ASSERT_EQ(broken, "") << "seed " << seed;
+    const std::string failure = Replacements(seed).Run();
+    ASSERT_EQ(failure, "") << "seed " << seed;
   }
 }
 
--- a/tests/unit/raft_schedule_test.cpp
+++ b/tests/unit/raft_schedule_test.cpp
@@ -8,12 +8,12 @@
 namespace gooseberrysail {
 namespace {
 
-using fakes::BrokenPromises;
 using fakes::CrashPoint;
+using fakes::InjectedFaults;
 using fakes::RaftCluster;
 
 constexpr std::size_t kSteps = 220;
-constexpr std::uint64_t kBouncePercent = 25;
+constexpr std::uint64_t kRestartPercent = 25;
 constexpr std::size_t kSchedulesPerTest = 1000;
 
 std::optional<std::uint64_t> FromEnvironment(const char* name)
@@ -22,7 +22,7 @@
   return text == nullptr ? std::nullopt : std::optional(std::strtoull(text, nullptr, 10));
 }
 
-// Small limits, so that each schedule meets snapshots, chunks, batches and full windows.
+// Small limits, so that each schedule includes snapshots, chunks, batches and full send windows.
 RaftSettings TightSettings()
 {
   RaftSettings settings;
@@ -36,14 +36,15 @@
   return settings;
 }
 
-/// \brief One seeded run of faults, then peace; returns the broken invariant or "".
+/// \brief One seeded run of random faults, followed by a recovery phase without faults. Run returns
+/// the violated invariant or "".
 class Schedule
 {
 public:
-  Schedule(std::uint64_t seed, std::size_t voters, BrokenPromises broken, bool trace)
-    : m_cluster(RaftCluster::Options{ voters, seed, TightSettings(), broken, trace })
+  Schedule(std::uint64_t seed, std::size_t voters, InjectedFaults faults, bool trace)
+    : m_cluster(RaftCluster::Options{ voters, seed, TightSettings(), faults, trace })
     , m_tolerated((voters - 1) / 2)
-    , m_restless(seed % 2 == 0)
+    , m_frequentRestarts(seed % 2 == 0)
   {
   }
 
@@ -66,7 +67,7 @@
   {
     const std::size_t target = m_cluster.Random() % m_cluster.Size();
     const std::uint64_t choice = m_cluster.Random() % 100;
-    if (m_restless && m_cluster.Random() % 100 < kBouncePercent) {
+    if (m_frequentRestarts && m_cluster.Random() % 100 < kRestartPercent) {
       m_cluster.Crash(target);
       m_cluster.Restart(target);
       return;
@@ -82,25 +83,25 @@
     } else if (choice < 68) {
       m_cluster.Freeze(target);
     } else if (choice < 76) {
-      ThawAll();
+      UnfreezeAll();
     } else if (choice < 80) {
       m_cluster.Isolate(target);
     } else if (choice < 83) {
       m_cluster.Block(target, m_cluster.Random() % m_cluster.Size());
     } else if (choice < 90) {
-      m_cluster.HealLinks();
+      m_cluster.RestoreLinks();
     } else if (choice < 94) {
       m_cluster.SetNetwork(static_cast<unsigned>(m_cluster.Random() % 30),
                            static_cast<unsigned>(m_cluster.Random() % 30),
-                           std::chrono::milliseconds(1 + m_cluster.Random() % LongestDelay()));
+                           std::chrono::milliseconds(1 + m_cluster.Random() % MaxDelay()));
     }
   }
 
-  // In the restless half of the schedules elections overlap again and again, with messages that
-  // outlive the process that sent them.
-  [[nodiscard]] std::uint64_t LongestDelay() const { return m_restless ? 600 : 150; }
+  // With frequent restarts, long delays make elections overlap often, and messages arrive after
+  // their sender has restarted.
+  [[nodiscard]] std::uint64_t MaxDelay() const { return m_frequentRestarts ? 600 : 150; }
 
-  // Also at a process that only believes that it leads: it must not acknowledge.
+  // Also proposes to outdated leaders, which must not acknowledge.
   void ProposeEverywhere()
   {
     const std::size_t count = 1 + m_cluster.Random() % 4;
@@ -129,7 +130,7 @@
     }
   }
 
-  // More lost disks at once than a minority lose data by any means.
+  // Losing the disks of more than a minority at once loses data in any protocol.
   void WipeOne(std::size_t target)
   {
     if (m_cluster.WipedAndNotVoting() < m_tolerated) {
@@ -138,21 +139,21 @@
     }
   }
 
-  void ThawAll()
+  void UnfreezeAll()
   {
     for (std::size_t i = 0; i < m_cluster.Size(); ++i) {
       if (m_cluster.At(i).frozen) {
-        m_cluster.Thaw(i);
+        m_cluster.Unfreeze(i);
       }
     }
   }
 
   std::string Recover()
   {
-    m_cluster.Note("peace");
-    m_cluster.HealLinks();
+    m_cluster.AddTrace("recovery phase");
+    m_cluster.RestoreLinks();
     m_cluster.SetNetwork(0, 0, std::chrono::milliseconds(2));
-    ThawAll();
+    UnfreezeAll();
     for (std::size_t i = 0; i < m_cluster.Size(); ++i) {
       m_cluster.At(i).crashAt.reset();
       if (!m_cluster.At(i).node) {
@@ -173,7 +174,7 @@
       return m_cluster.Violation();
     }
     if (!settled) {
-      return "no progress: 20 s without faults did not bring all processes together";
+      return "no progress: the processes did not converge within 20 s without faults";
     }
     for (const auto& [value, index] : m_cluster.Acknowledged()) {
       if (!m_cluster.IsCommitted(value)) {
@@ -186,7 +187,7 @@
 
   RaftCluster m_cluster;
   std::size_t m_tolerated;
-  bool m_restless;
+  bool m_frequentRestarts;
   std::uint64_t m_nextValue = 1;
 };
 
@@ -199,10 +200,10 @@
 std::optional<Failure> FirstFailure(std::uint64_t first,
                                     std::size_t count,
                                     std::size_t voters,
-                                    BrokenPromises broken = {})
+                                    InjectedFaults faults = {})
 {
   for (std::uint64_t seed = first; seed < first + count; ++seed) {
-    Schedule schedule(seed, voters, broken, false);
+    Schedule schedule(seed, voters, faults, false);
     const std::string what = schedule.Run();
     if (!what.empty()) {
       return Failure{ seed, what };
@@ -213,19 +214,19 @@
 
 void PrintSchedule(const Failure& failure, std::size_t voters)
 {
-  Schedule again(failure.seed, voters, {}, true);
-  (void)again.Run();
-  for (const std::string& line : again.Cluster().Trace()) {
+  Schedule schedule(failure.seed, voters, {}, true);
+  (void)schedule.Run();
+  for (const std::string& line : schedule.Cluster().Trace()) {
     std::cerr << line << "\n";
   }
 }
 
-// Symptom: an acknowledged change is gone, two processes lead one term, or logs differ.
-// Sequence: any: messages lost, doubled and out of order, links cut one way, kills at each point
-// of writing, frozen processes, wiped disks, changes proposed meanwhile.
-// Cause: whichever rule of the protocol is missing; the schedule that is printed tells.
-// GOOSEBERRYSAIL_SEED=<n> runs one schedule again and prints it, GOOSEBERRYSAIL_SCHEDULES=<n> that
-// many.
+// Symptom: an acknowledged change is lost, two processes lead one term, or logs differ.
+// Sequence: changes are proposed during random faults: lost, duplicated and reordered messages,
+// one-way link failures, crashes at each point of persisting, frozen processes, wiped disks.
+// Cause: a violated rule of the protocol; the trace of the failed schedule is printed.
+// GOOSEBERRYSAIL_SEED=<n> reruns and prints one schedule, GOOSEBERRYSAIL_SCHEDULES=<n> sets their
+// number.
 void RunSchedules(std::uint64_t first, std::size_t voters)
 {
   const auto one = FromEnvironment("GOOSEBERRYSAIL_SEED");
@@ -255,27 +256,27 @@
   RunSchedules(200001, 5);
 }
 
-// The checks would be worth nothing if they passed whatever the processes do.
-TEST(RaftSchedules, BrokenPromisesAreFound)
+// Verifies that the checks detect a process or disk that violates the requirements of RaftNode.
+TEST(RaftSchedules, InjectedFaultsAreDetected)
 {
-  constexpr std::size_t kEnough = 2000;
-  SECTION("votes that do not outlive a crash")
+  constexpr std::size_t kMaxSchedules = 2000;
+  SECTION("votes that do not survive a crash")
   {
-    BrokenPromises broken;
-    broken.forgetVote = true;
-    EXPECT_TRUE(FirstFailure(1, kEnough, 3, broken));
+    InjectedFaults faults;
+    faults.forgetVote = true;
+    EXPECT_TRUE(FirstFailure(1, kMaxSchedules, 3, faults));
   }
-  SECTION("messages sent before what they promise is synced")
+  SECTION("messages sent before the state that they report is synced")
   {
-    BrokenPromises broken;
-    broken.sendBeforePersist = true;
-    EXPECT_TRUE(FirstFailure(1, kEnough, 3, broken));
+    InjectedFaults faults;
+    faults.sendBeforePersist = true;
+    EXPECT_TRUE(FirstFailure(1, kMaxSchedules, 3, faults));
   }
-  SECTION("a wiped disk that comes back under its old identity")
+  SECTION("a wiped disk that keeps its old identity")
   {
-    BrokenPromises broken;
-    broken.keepIdentity = true;
-    EXPECT_TRUE(FirstFailure(1, kEnough, 3, broken));
+    InjectedFaults faults;
+    faults.keepIdentity = true;
+    EXPECT_TRUE(FirstFailure(1, kMaxSchedules, 3, faults));
   }
 }
 
--- a/tests/unit/raft_single_voter_test.cpp
+++ b/tests/unit/raft_single_voter_test.cpp
@@ -12,7 +12,7 @@
 using testing::TemporaryFolder;
 using testing::UnsyncedFileSystem;
 
-// One control process with its real files: what the shell does, without the network.
+// One control process with real files and no network; handles ready outputs like the shell.
 struct SingleVoter
 {
   explicit SingleVoter(const std::string& folder, FileSystem files = UnsyncedFileSystem())
@@ -36,11 +36,11 @@
     node =
       std::make_unique<RaftNode>(settings, RaftHooks{ [] { return 5; } }, std::move(recovered));
     node->Tick(TimePoint(std::chrono::seconds(1)));
-    Drain();
+    ProcessReady();
   }
 
   // The applied state is the sequence of commands, one byte each.
-  void Drain()
+  void ProcessReady()
   {
     while (!error && node->HasReady()) {
       const ReadyOutput ready = node->TakeReady();
@@ -65,7 +65,7 @@
   bool Propose(std::uint8_t value)
   {
     const bool accepted = node->Propose({ value }).has_value();
-    Drain();
+    ProcessReady();
     return accepted;
   }
 
@@ -76,7 +76,7 @@
   std::optional<Error> error;
 };
 
-TEST(RaftSingleVoter, LeadsAtOnceAndCommitsWhatItSynced)
+TEST(RaftSingleVoter, LeadsImmediatelyAndCommitsSyncedEntries)
 {
   const TemporaryFolder folder;
   SingleVoter voter(folder.Path() + "/data", RealFileSystem());
@@ -89,9 +89,9 @@
 
 TEST(RaftSingleVoter, AProposalDuringASyncWaitsForTheNextSync)
 {
-  // Symptom: a change is acknowledged and gone after a crash.
-  // Sequence: while one change is being synced a second one is proposed; the first sync ends.
-  // Cause: the leader counts itself for entries that it holds but has not synced.
+  // Symptom: a change is acknowledged and lost in a crash.
+  // Sequence: a second change is proposed while the first one is being synced.
+  // Cause: the leader counts itself for entries that it has not synced.
   const TemporaryFolder folder;
   SingleVoter voter(folder.Path() + "/data");
   const Result<LogIndex> first = voter.node->Propose({ 1 });
@@ -100,18 +100,18 @@
   ASSERT_TRUE(voter.store->Persist(ready));
   voter.node->Advance();
   EXPECT_EQ(voter.node->Status().committed, first.value());
-  voter.Drain();
+  voter.ProcessReady();
   EXPECT_EQ(voter.node->Status().committed, second.value());
 }
 
 TEST(RaftSingleVoter, RestartAfterFiveHundredChangesReadsTheSnapshotAndFewEntries)
 {
-  // Symptom: a restart takes longer with each change ever made.
-  // Sequence: 500 changes, then the process dies without any shutdown and starts again.
-  // Cause: replaying the whole log in place of a snapshot.
+  // Symptom: restarts become slower with each change.
+  // Sequence: 500 changes are made; the process ends without a shutdown and restarts.
+  // Cause: replaying the whole log instead of a snapshot.
   const TemporaryFolder folder;
   std::vector<std::uint8_t> before;
-  SECTION("500 changes, then the process is gone")
+  SECTION("500 changes without a shutdown")
   {
     SingleVoter voter(folder.Path() + "/data");
     for (int i = 0; i < 500; ++i) {
@@ -120,7 +120,7 @@
     before = voter.applied;
     ASSERT_EQ(before.size(), 500U);
   }
-  SECTION("it starts again")
+  SECTION("restart")
   {
     SingleVoter voter(folder.Path() + "/data");
     ASSERT_FALSE(voter.error) << *voter.error;
@@ -130,12 +130,12 @@
   }
 }
 
-TEST(RaftSingleVoter, AFailedSyncAcknowledgesNothingAndIsNotTriedAgain)
+TEST(RaftSingleVoter, AFailedSyncAcknowledgesNothingAndIsNotRetried)
 {
-  // Symptom: a change that an operator was told is accepted is gone after a restart.
+  // Symptom: a change that was acknowledged to an operator is lost after a restart.
   // Sequence: the disk reports an error for one sync; the next sync succeeds.
-  // Cause: after a failed sync the system may drop the unwritten pages, so a second sync that
-  // succeeds proves nothing.
+  // Cause: after a failed sync the kernel may drop the unwritten pages, so the success of a second
+  // sync does not show that they were written.
   const TemporaryFolder folder;
   int syncsUntilFailure = -1;
   FileSystem files = RealFileSystem();
@@ -155,12 +155,12 @@
   EXPECT_EQ(again.error().step, "sync log file");
 }
 
-TEST(RaftSingleVoter, AFullDiskAcknowledgesNothingAndKeepsWhatWasAcknowledged)
+TEST(RaftSingleVoter, AFullDiskAcknowledgesNothingAndKeepsAcknowledgedChanges)
 {
   // Symptom: a change is acknowledged, or an earlier one is lost, when the disk is full.
-  // Sequence: a write stores half of the record and then fails with "no space left"; later the
-  // process starts again with room on the disk.
-  // Cause: half a record that is taken for a whole one, or refused as damage.
+  // Sequence: a write stores half of the record and then fails with ENOSPC; later the process
+  // restarts with free space on the disk.
+  // Cause: treating a partial record as complete, or as damage.
   const TemporaryFolder folder;
   bool full = false;
   FileSystem files = RealFileSystem();
@@ -181,7 +181,7 @@
     EXPECT_EQ(voter.error->step, "write log file");
     EXPECT_EQ(voter.applied, std::vector<std::uint8_t>({ 1 }));
   }
-  SECTION("started again with room")
+  SECTION("restart with free space")
   {
     SingleVoter voter(folder.Path() + "/data");
     ASSERT_FALSE(voter.error) << *voter.error;
