--- a/bench/consensus.cpp
+++ b/bench/consensus.cpp
@@ -1,5 +1,5 @@
-// Measures the replicated log and its store: bytes and CPU a change and a heartbeat round, commit
-// latency with real syncs, snapshots by size. Prints tables with a linear fit for each slope.
+// Measures the replicated log and its store: bytes and CPU time per change and per heartbeat round,
+// commit latency with real syncs, and snapshot times by size. Prints tables with linear fits.
 
 #include "gooseberrysail/storage/control_store.hpp"
 #include "gooseberrysail/wire/envelope.hpp"
@@ -53,7 +53,7 @@
               bench::LargestResidual(fit, points));
 }
 
-/// \brief Several nodes joined by encoded frames in memory; no disk.
+/// \brief Several nodes that exchange encoded frames in memory, without disks.
 class Cluster
 {
 public:
@@ -73,9 +73,9 @@
         std::make_unique<RaftNode>(settings, RaftHooks{ [this] { return m_random(); } }, empty));
     }
     while (Leader() == nullptr) {
-      Pass(std::chrono::milliseconds(20));
+      Advance(std::chrono::milliseconds(20));
     }
-    Pass(std::chrono::milliseconds(200));
+    Advance(std::chrono::milliseconds(200));
   }
 
   RaftNode* Leader()
@@ -89,17 +89,17 @@
     return nullptr;
   }
 
-  void Pass(Duration step)
+  void Advance(Duration step)
   {
     m_now += step;
     for (auto& node : m_nodes) {
       node->Tick(m_now);
-      Drain(*node);
+      ProcessReady(*node);
     }
-    Settle();
+    DeliverAll();
   }
 
-  void Settle()
+  void DeliverAll()
   {
     while (!m_frames.empty()) {
       const std::vector<std::uint8_t> frame = std::move(m_frames.front());
@@ -108,11 +108,11 @@
       const wire::RaftMessageT& message = *envelope->body.AsRaftMessage();
       RaftNode& node = *m_nodes[static_cast<std::size_t>(message.to.back() - '1')];
       node.Step(m_now, message);
-      Drain(node);
+      ProcessReady(node);
     }
   }
 
-  void Drain(RaftNode& node)
+  void ProcessReady(RaftNode& node)
   {
     while (node.HasReady()) {
       ReadyOutput ready = node.TakeReady();
@@ -130,7 +130,7 @@
   [[nodiscard]] std::uint64_t Bytes() const { return m_bytes; }
 
 private:
-  std::mt19937_64 m_random{ 1 }; // The same elections on each run.
+  std::mt19937_64 m_random{ 1 }; // A fixed seed, for the same elections in each run.
   std::vector<std::unique_ptr<RaftNode>> m_nodes;
   std::deque<std::vector<std::uint8_t>> m_frames;
   TimePoint m_now{ std::chrono::seconds(1) };
@@ -155,8 +155,8 @@
         std::abort();
       }
     }
-    cluster.Drain(leader);
-    cluster.Settle();
+    cluster.ProcessReady(leader);
+    cluster.DeliverAll();
   }
   return { static_cast<double>(cluster.Bytes() - bytes) / kChanges,
            (CpuSeconds() - cpu) * 1e6 / kChanges };
@@ -169,7 +169,7 @@
   const std::uint64_t bytes = cluster.Bytes();
   const double cpu = CpuSeconds();
   for (std::size_t i = 0; i < kRounds; ++i) {
-    cluster.Pass(RaftSettings{}.heartbeat);
+    cluster.Advance(RaftSettings{}.heartbeat);
   }
   return { static_cast<double>(cluster.Bytes() - bytes) / kRounds,
            (CpuSeconds() - cpu) * 1e6 / kRounds };
@@ -252,14 +252,14 @@
   settings.voters = { settings.self };
   settings.snapshotEvery = std::uint64_t{ 1 } << 30;
   RaftNode node(settings, RaftHooks{ [] { return 1; } }, store.TakeRecovered());
-  const auto drain = [&] {
+  const auto processReady = [&] {
     while (node.HasReady()) {
       PersistOrAbort(store, node.TakeReady());
       node.Advance();
     }
   };
   node.Tick(TimePoint(std::chrono::seconds(1)));
-  drain();
+  processReady();
   std::vector<double> latencies;
   const double cpu = CpuSeconds();
   const double start = WallSeconds();
@@ -270,7 +270,7 @@
         std::abort();
       }
     }
-    drain();
+    processReady();
     latencies.push_back((WallSeconds() - before) * 1e3);
   }
   const auto changes = static_cast<double>(kSyncs * batch);
--- a/bench/placement.cpp
+++ b/bench/placement.cpp
@@ -1,5 +1,5 @@
-/// Replays seeded failure traces through the placement planner, ours beside its baselines, and
-/// prints group downtime and stranded accelerator-hours; then the processor time of one Plan call.
+/// Replays seeded failure traces with the placement planner and with baseline policies, and prints
+/// group downtime and stranded accelerator-hours. Also measures the CPU time of a Plan call.
 ///
 ///     bench_placement replay [case] [first seed] [seeds]
 ///     bench_placement cpu
@@ -24,17 +24,17 @@
 using fakes::ReplayRates;
 using fakes::ReplayResult;
 
-/// Seeds up to 99 were used to choose the constants; figures come from those above.
+/// Seeds up to 99 were used to tune the planner's constants; results are reported for later ones.
 constexpr std::uint64_t kFirstHeldOut = 101;
 
-struct Case
+struct Scenario
 {
   ReplayFleet fleet;
   ReplayRates rates;
 };
 
-/// Letter 1's rates for 7,200 VMs, and pauses, which it doesn't count.
-ReplayRates RatesOfLetter(double vms)
+/// The event rates required for 7,200 VMs, scaled; pauses are an addition.
+ReplayRates ScaledRates(double vms)
 {
   const double share = vms / 7200;
   ReplayRates rates;
@@ -46,38 +46,38 @@
   return rates;
 }
 
-Case HireAuthority()
+Scenario HireScenario()
 {
-  Case hire;
+  Scenario hire;
   hire.fleet.name = "hire";
   hire.fleet.policy.downtimeWeight = 10;
   hire.fleet.policy.strandedWeight = 0.1;
   hire.fleet.days = 90;
-  hire.rates = RatesOfLetter(hire.fleet.CountVms());
+  hire.rates = ScaledRates(hire.fleet.CountVms());
   hire.rates.switches = 1.0 / 45;
   hire.rates.blips = 1.0 / 20;
   hire.rates.domains = 1.0 / 90;
   return hire;
 }
 
-Case Registry()
+Scenario RegistryScenario()
 {
-  Case registry = HireAuthority();
+  Scenario registry = HireScenario();
   registry.fleet.name = "registry";
   registry.fleet.vmsPerFabric = 41;
   registry.fleet.policy.downtimeWeight = 1;
   registry.fleet.policy.strandedWeight = 1;
-  registry.rates = RatesOfLetter(registry.fleet.CountVms());
+  registry.rates = ScaledRates(registry.fleet.CountVms());
   registry.rates.switches = 1.0 / 45;
   registry.rates.blips = 1.0 / 20;
   registry.rates.domains = 1.0 / 90;
   return registry;
 }
 
-/// Rare events come more often than in the letter, or a trace of some days would hold none.
-Case FullSize()
+/// Rare events are more frequent than required; otherwise a trace of half a day would have none.
+Scenario FullSizeScenario()
 {
-  Case full;
+  Scenario full;
   full.fleet.name = "full";
   full.fleet.failureDomains = 17;
   full.fleet.fabricsPerFailureDomain = 4;
@@ -87,26 +87,26 @@
   full.fleet.policy.downtimeWeight = 4;
   full.fleet.policy.strandedWeight = 0.5;
   full.fleet.policy.weightLoadsAtOnce = 32;
-  full.rates = RatesOfLetter(full.fleet.CountVms());
+  full.rates = ScaledRates(full.fleet.CountVms());
   full.rates.switches = 2;
   full.rates.blips = 2;
   full.rates.domains = 1;
   return full;
 }
 
-struct Contender
+struct RepairPolicy
 {
   const char* name;
   std::function<PlacementPlanner()> make;
   bool grantsPreloads = false;
 };
 
-std::vector<std::uint32_t> Never(const impl::RepairInput&)
+std::vector<std::uint32_t> NeverReplace(const impl::RepairInput&)
 {
   return {};
 }
 
-std::vector<std::uint32_t> AtOnce(const impl::RepairInput& input)
+std::vector<std::uint32_t> ReplaceAtOnce(const impl::RepairInput& input)
 {
   std::vector<std::uint32_t> rows;
   for (impl::Row row = 0; row < input.fleet.groups.size(); ++row) {
@@ -118,8 +118,8 @@
   return rows;
 }
 
-/// At once, but only where the fabric domain has the VMs for it.
-std::vector<std::uint32_t> AtOnceWithSpare(const impl::RepairInput& input)
+/// Replaces at once, but only if the fabric domain has enough available VMs.
+std::vector<std::uint32_t> ReplaceIfSpare(const impl::RepairInput& input)
 {
   std::vector<std::uint32_t> rows;
   for (const impl::FleetFabric& fabric : input.fleet.fabrics) {
@@ -135,15 +135,15 @@
   return rows;
 }
 
-std::vector<Contender> Contenders()
+std::vector<RepairPolicy> RepairPolicies()
 {
   return {
     { "ours", [] { return PlacementPlanner(); } },
     { "ours+preload", [] { return PlacementPlanner(); }, true },
-    { "always-wait", [] { return PlacementPlanner(&Never); } },
-    { "replace-at-once", [] { return PlacementPlanner(&AtOnce); } },
-    { "at-once+preload", [] { return PlacementPlanner(&AtOnce); }, true },
-    { "replace-if-spare", [] { return PlacementPlanner(&AtOnceWithSpare); } },
+    { "always-wait", [] { return PlacementPlanner(&NeverReplace); } },
+    { "replace-at-once", [] { return PlacementPlanner(&ReplaceAtOnce); } },
+    { "at-once+preload", [] { return PlacementPlanner(&ReplaceAtOnce); }, true },
+    { "replace-if-spare", [] { return PlacementPlanner(&ReplaceIfSpare); } },
   };
 }
 
@@ -161,26 +161,26 @@
   return values.empty() ? 0 : values[index];
 }
 
-/// \returns Whether ours costs least.
-bool ReplaySeed(const Case& story, std::uint64_t seed)
+/// \returns Whether the planner has a lower cost than all baselines without preloading.
+bool ReplaySeed(const Scenario& scenario, std::uint64_t seed)
 {
-  const auto outages = fakes::DrawOutages(story.fleet, story.rates, seed);
+  const auto outages = fakes::DrawOutages(scenario.fleet, scenario.rates, seed);
   double ours = 0;
   double leastOther = INFINITY;
-  for (const Contender& contender : Contenders()) {
-    ReplayFleet fleet = story.fleet;
-    fleet.grantsPreloads = contender.grantsPreloads;
-    const ReplayResult result = fakes::Replay(fleet, outages, contender.make(), &CpuMicros);
-    const double cost = result.Cost(story.fleet.policy);
-    if (std::string(contender.name) == "ours") {
+  for (const RepairPolicy& policy : RepairPolicies()) {
+    ReplayFleet fleet = scenario.fleet;
+    fleet.grantsPreloads = policy.grantsPreloads;
+    const ReplayResult result = fakes::Replay(fleet, outages, policy.make(), &CpuMicros);
+    const double cost = result.Cost(scenario.fleet.policy);
+    if (std::string(policy.name) == "ours") {
       ours = cost;
-    } else if (!contender.grantsPreloads) {
+    } else if (!policy.grantsPreloads) {
       leastOther = std::min(leastOther, cost);
     }
     std::printf("%-9s %5lu %-17s %10.2f %12.1f %12.1f %7lu %7lu %8.0f %8.0f\n",
-                story.fleet.name.c_str(),
+                scenario.fleet.name.c_str(),
                 static_cast<unsigned long>(seed),
-                contender.name,
+                policy.name,
                 result.downSeconds / 3600,
                 result.strandedSeconds / 3600,
                 cost / 3600,
@@ -206,16 +206,16 @@
               "ended",
               "p50 us",
               "p99 us");
-  for (const Case& story : { HireAuthority(), Registry(), FullSize() }) {
-    if (only != "all" && only != story.fleet.name) {
+  for (const Scenario& scenario : { HireScenario(), RegistryScenario(), FullSizeScenario() }) {
+    if (only != "all" && only != scenario.fleet.name) {
       continue;
     }
     std::uint64_t best = 0;
     for (std::uint64_t seed = first; seed < first + seeds; ++seed) {
-      best += ReplaySeed(story, seed) ? 1 : 0;
+      best += ReplaySeed(scenario, seed) ? 1 : 0;
     }
     std::printf("%s: ours costs least on %lu of %lu seeds\n",
-                story.fleet.name.c_str(),
+                scenario.fleet.name.c_str(),
                 static_cast<unsigned long>(best),
                 static_cast<unsigned long>(seeds));
   }
@@ -223,7 +223,7 @@
 
 using bench::FitPoint;
 
-/// Prints slope, offset and the largest distance of a point from the line.
+/// Prints slope, offset and the largest residual of a linear fit.
 void PrintFit(const char* name, const std::vector<FitPoint>& points)
 {
   const bench::LinearFit fit = bench::FitLine(points);
@@ -234,31 +234,32 @@
               bench::LargestResidual(fit, points));
 }
 
-/// Processor time of a Plan call over sizes, in a trace of an hour and a half with a failure
-/// domain lost in it.
+/// Measures the CPU time of a Plan call by fleet size, in a trace of 1.5 hours in which a failure
+/// domain is lost.
 void MeasureCpu()
 {
   std::vector<FitPoint> medians;
   std::vector<FitPoint> worst;
   std::printf(
     "%8s %8s %8s %8s %8s %8s\n", "replicas", "VMs", "calls", "p50 us", "p99 us", "max us");
-  for (const std::uint32_t fabricsEach : { 1U, 2U, 4U, 6U, 8U }) {
-    Case story = FullSize();
-    story.fleet.fabricsPerFailureDomain = fabricsEach;
-    story.fleet.replicas = 450 * fabricsEach;
-    story.fleet.days = 0.0625;
-    story.rates = RatesOfLetter(story.fleet.CountVms());
-    auto outages = fakes::DrawOutages(story.fleet, story.rates, kFirstHeldOut);
-    const std::uint32_t lost = fabricsEach * story.fleet.vmsPerFabric;
+  for (const std::uint32_t fabricsPerDomain : { 1U, 2U, 4U, 6U, 8U }) {
+    Scenario scenario = FullSizeScenario();
+    scenario.fleet.fabricsPerFailureDomain = fabricsPerDomain;
+    scenario.fleet.replicas = 450 * fabricsPerDomain;
+    scenario.fleet.days = 0.0625;
+    scenario.rates = ScaledRates(scenario.fleet.CountVms());
+    auto outages = fakes::DrawOutages(scenario.fleet, scenario.rates, kFirstHeldOut);
+    const std::uint32_t lost = fabricsPerDomain * scenario.fleet.vmsPerFabric;
     for (std::uint32_t vm = 0; vm < lost; ++vm) {
       outages.push_back({ 1800, 2400, vm, true });
     }
-    const ReplayResult result = fakes::Replay(story.fleet, outages, PlacementPlanner(), &CpuMicros);
-    const double vms = story.fleet.CountVms();
+    const ReplayResult result =
+      fakes::Replay(scenario.fleet, outages, PlacementPlanner(), &CpuMicros);
+    const double vms = scenario.fleet.CountVms();
     medians.push_back({ vms, Quantile(result.planMicros, 0.5) });
     worst.push_back({ vms, Quantile(result.planMicros, 0.99) });
     std::printf("%8u %8.0f %8zu %8.0f %8.0f %8.0f\n",
-                story.fleet.replicas,
+                scenario.fleet.replicas,
                 vms,
                 result.planMicros.size(),
                 medians.back().y,
