--- a/tests/unit/engine_groups_test.cpp
+++ b/tests/unit/engine_groups_test.cpp
@@ -499,7 +499,7 @@
   fleet.Run(2s);
   TargetAnnouncement late = fleet.At(member).self;
   ++late.sequence;
-  fleet.Table().Hear(fleet.now, late);
+  fleet.Table().Update(fleet.now, late);
   // The demand exceeds the capacity of all targets, so that each usable one is used.
   fleet.demand["small"] = { 300, 300 * 714.0, 300 * 146.0 };
   fleet.Run(25s);
