--- a/tests/golden/agent_session_test.cpp
+++ b/tests/golden/agent_session_test.cpp
@@ -11,9 +11,11 @@
 
 void Record(AgentHarness& agent, GoldenSession& session)
 {
-  agent.onInput = [&session](TimePoint now, const AgentInput& input) { session.Came(now, input); };
+  agent.onInput = [&session](TimePoint now, const AgentInput& input) {
+    session.RecordInput(now, input);
+  };
   agent.onOutput = [&session](TimePoint now, const AgentOutput& output) {
-    session.Left(now, output);
+    session.RecordOutput(now, output);
   };
 }
 
@@ -27,17 +29,17 @@
   agent.FormGroup(7);
   GoldenSession session(agent.Now());
   Record(agent, session);
-  session.Story("a request streams, a second one waits for its slot");
+  session.AddComment("a request streams, a second one waits for its slot");
   agent.Start("entry-1.1.1");
   agent.Start("entry-1.1.2");
   agent.AnswerCall("entry-1.1.1", "two rollers ", false);
   agent.Acknowledge("entry-1.1.1", 12, false);
-  session.Story("vm-3 answers no more beats");
+  session.AddComment("vm-3 answers no more beats");
   agent.silentMembers = { "vm-3" };
   agent.Advance(agent.policy.memberTimeout);
-  session.Story("the engine goes on for a moment: its output is withheld");
+  session.AddComment("the engine goes on for a moment: its output is withheld");
   agent.AnswerCall("entry-1.1.1", "are free", false, false);
-  session.Story("a third request is refused; past the grace the running one is cut");
+  session.AddComment("a third request is refused; past the grace the running one is cut");
   agent.Start("entry-1.1.3");
   agent.Advance(seconds(4));
   session.Compare(GOOSEBERRYSAIL_SOURCE_DIR "/tests/golden/agent_member_death.session");
@@ -53,15 +55,15 @@
   agent.FormGroup(7);
   GoldenSession session(agent.Now());
   Record(agent, session);
-  session.Story("one request is in flight when the release arrives");
+  session.AddComment("one request is in flight when the release arrives");
   agent.Start("entry-1.1.1");
   agent.Release(7, 10000);
-  session.Story("new work is refused before its start, the running one ends whole");
+  session.AddComment("new work is refused before its start, the running one ends whole");
   agent.Start("entry-1.1.2");
   agent.AnswerCall("entry-1.1.1", "confirmed", true);
   agent.Acknowledge("entry-1.1.1", 9, true);
   agent.Advance(milliseconds(200));
-  session.Story("control assigns the VM to the new group, of which vm-2 is head");
+  session.AddComment("control assigns the VM to the new group, of which vm-2 is head");
   agent.Assign(12, "vm-2", 12);
   wire::BeatRequestT beat;
   beat.group = 12;
@@ -69,7 +71,7 @@
   beat.nonce = 77;
   beat.configVersion = 1;
   agent.Frame("agent-vm-2", beat);
-  session.Story("an order of the former epoch arrives late");
+  session.AddComment("an order of the former epoch arrives late");
   agent.Assign(7);
   agent.Advance(milliseconds(500));
   session.Compare(GOOSEBERRYSAIL_SOURCE_DIR "/tests/golden/agent_group_change.session");
--- a/tests/support/golden_session.cpp
+++ b/tests/support/golden_session.cpp
@@ -231,39 +231,39 @@
   m_text += line.str();
 }
 
-void GoldenSession::Story(std::string_view what)
+void GoldenSession::AddComment(std::string_view what)
 {
   m_text += "# ";
   m_text += what;
   m_text += '\n';
 }
 
-void GoldenSession::Came(TimePoint now, const AgentInput& input)
+void GoldenSession::RecordInput(TimePoint now, const AgentInput& input)
 {
   Line(now, "<", std::visit(Describer{}, input));
 }
 
-void GoldenSession::Left(TimePoint now, const AgentOutput& output)
+void GoldenSession::RecordOutput(TimePoint now, const AgentOutput& output)
 {
   Line(now, ">", std::visit(Describer{}, output));
 }
 
-void GoldenSession::Came(TimePoint now, std::string_view process, const AgentInput& input)
+void GoldenSession::RecordInput(TimePoint now, std::string_view process, const AgentInput& input)
 {
   Line(now, std::string(process) + " <", std::visit(Describer{}, input));
 }
 
-void GoldenSession::Left(TimePoint now, std::string_view process, const AgentOutput& output)
+void GoldenSession::RecordOutput(TimePoint now, std::string_view process, const AgentOutput& output)
 {
   Line(now, std::string(process) + " >", std::visit(Describer{}, output));
 }
 
-void GoldenSession::Came(TimePoint now, std::string_view process, const EntryInput& input)
+void GoldenSession::RecordInput(TimePoint now, std::string_view process, const EntryInput& input)
 {
   Line(now, std::string(process) + " <", std::visit(Describer{}, input));
 }
 
-void GoldenSession::Left(TimePoint now, std::string_view process, const EntryOutput& output)
+void GoldenSession::RecordOutput(TimePoint now, std::string_view process, const EntryOutput& output)
 {
   Line(now, std::string(process) + " >", std::visit(Describer{}, output));
 }
--- a/tests/support/golden_session.hpp
+++ b/tests/support/golden_session.hpp
@@ -10,10 +10,9 @@
 /// \brief Collects what enters and leaves a role under scripted time, one line each.
 /// \code
 /// GoldenSession session(agent.Now());
-/// agent.onOutput = [&](TimePoint now, const AgentOutput& output) { session.Left(now, output); };
-/// session.Story("vm-3 dies");
-/// session.Compare(GOOSEBERRYSAIL_SOURCE_DIR "/tests/golden/agent_member_death.session");
-/// \endcode
+/// agent.onOutput = [&](TimePoint now, const AgentOutput& output) { session.RecordOutput(now,
+/// output); }; session.AddComment("vm-3 dies"); session.Compare(GOOSEBERRYSAIL_SOURCE_DIR
+/// "/tests/golden/agent_member_death.session"); \endcode
 class GoldenSession
 {
 public:
@@ -22,15 +21,15 @@
   {
   }
 
-  void Story(std::string_view what);
-  void Came(TimePoint now, const AgentInput& input);
-  void Left(TimePoint now, const AgentOutput& output);
+  void AddComment(std::string_view what);
+  void RecordInput(TimePoint now, const AgentInput& input);
+  void RecordOutput(TimePoint now, const AgentOutput& output);
 
   /// \brief The same in a session of several processes: each line names its own.
-  void Came(TimePoint now, std::string_view process, const AgentInput& input);
-  void Left(TimePoint now, std::string_view process, const AgentOutput& output);
-  void Came(TimePoint now, std::string_view process, const EntryInput& input);
-  void Left(TimePoint now, std::string_view process, const EntryOutput& output);
+  void RecordInput(TimePoint now, std::string_view process, const AgentInput& input);
+  void RecordOutput(TimePoint now, std::string_view process, const AgentOutput& output);
+  void RecordInput(TimePoint now, std::string_view process, const EntryInput& input);
+  void RecordOutput(TimePoint now, std::string_view process, const EntryOutput& output);
 
   /// \brief Fails the test where the session differs from this file.
   /// \remarks With GOOSEBERRYSAIL_WRITE_GOLDEN set, writes it instead and fails.
--- a/tests/support/request_world.cpp
+++ b/tests/support/request_world.cpp
@@ -87,7 +87,7 @@
   m_agent->FormGroup(kEpoch);
   m_agent->onInput = [this](TimePoint, const AgentInput& input) {
     if (m_recording && IsAboutRequests(input)) {
-      m_session.Came(m_now, kAgent, input);
+      m_session.RecordInput(m_now, kAgent, input);
     }
   };
   m_agent->onOutput = [this](TimePoint, const AgentOutput& output) { TakeFromAgent(output); };
@@ -189,7 +189,7 @@
   inbox.swap(entry.inbox);
   for (const EntryInput& input : inbox) {
     if (m_recording) {
-      m_session.Came(m_now, name, input);
+      m_session.RecordInput(m_now, name, input);
     }
   }
   std::vector<EntryOutput> outbox;
@@ -204,7 +204,7 @@
                                  const EntryOutput& output)
 {
   if (m_recording) {
-    m_session.Left(m_now, name, output);
+    m_session.RecordOutput(m_now, name, output);
   }
   if (const auto* answer = std::get_if<HttpAnswerOut>(&output)) {
     CallerView& caller = entry.callers[answer->exchange.Get()];
@@ -231,7 +231,7 @@
 void RequestWorld::TakeFromAgent(const AgentOutput& output)
 {
   if (m_recording && IsAboutRequests(output)) {
-    m_session.Left(m_now, kAgent, output);
+    m_session.RecordOutput(m_now, kAgent, output);
   }
   const auto* frame = std::get_if<FrameOut>(&output);
   if (frame == nullptr || frame->envelope->body.type == wire::Body::LoadReport) {
--- a/tests/support/request_world.hpp
+++ b/tests/support/request_world.hpp
@@ -32,7 +32,7 @@
   RequestWorld();
   explicit RequestWorld(Shape shape);
 
-  void Story(std::string_view what) { m_session.Story(what); }
+  void Story(std::string_view what) { m_session.AddComment(what); }
   void Compare(const std::string& path) const;
 
   void Advance(Duration duration);
