--- a/tests/golden/agent_session_test.cpp
+++ b/tests/golden/agent_session_test.cpp
@@ -19,10 +19,9 @@
   };
 }
 
-// Symptom: a replica goes on answering after one of its machines died, or its callers never hear
-// what became of their requests.
-// Sequence: vm-3 dies for good while one answer streams and another request waits.
-// Cause: engines notice the loss of a rank late; only the heartbeats tell the head.
+// Guards against a group that serves with a dead member, and against callers that get no outcome.
+// vm-3 fails permanently while one answer streams and another request waits. The engine detects
+// the lost rank late, so the head must rely on the missing heartbeats.
 TEST(AgentSession, AMemberDiesWhileAnAnswerStreams)
 {
   AgentHarness agent({ .maxConcurrent = 1 });
@@ -45,10 +44,10 @@
   session.Compare(GOOSEBERRYSAIL_SOURCE_DIR "/tests/golden/agent_member_death.session");
 }
 
-// Symptom: a VM serves in two groups, or a request is lost when its group changes.
-// Sequence: control dissolves group 5 in favour of a group with vm-2 as head: Release, then an
-// Assign with a higher epoch; a delayed Assign of the old epoch arrives last.
-// Cause: orders of two control processes may cross on their way.
+// Guards against a VM that serves in two groups and against requests lost when its group changes.
+// Control releases the VM from its group and assigns it, with a higher epoch, to a group with vm-2
+// as head; a delayed Assign of the old epoch arrives last. Messages of two control processes can
+// arrive out of order.
 TEST(AgentSession, AGroupIsDissolvedAndItsHeadJoinsAnother)
 {
   AgentHarness agent;
--- a/tests/golden/cli_session_test.cpp
+++ b/tests/golden/cli_session_test.cpp
@@ -79,7 +79,7 @@
 constexpr const char* kNotFound = R"({"error":{"code":"not found","step":"read catalogue",
   "reason":"no model is named hire-asist"}})";
 
-/// \brief Writes down commands and what they print.
+/// \brief Records command lines with their output and exit codes.
 class Transcript
 {
 public:
@@ -109,9 +109,9 @@
     }
     std::ifstream file(kPath, std::ios::binary);
     ASSERT_TRUE(file.is_open()) << kPath;
-    std::ostringstream wanted;
-    wanted << file.rdbuf();
-    EXPECT_EQ(m_text, wanted.str());
+    std::ostringstream expected;
+    expected << file.rdbuf();
+    EXPECT_EQ(m_text, expected.str());
   }
 
   CliRunner cli;
--- a/tests/golden/control_race_session_test.cpp
+++ b/tests/golden/control_race_session_test.cpp
@@ -9,7 +9,7 @@
 namespace gooseberrysail::test {
 namespace {
 
-/// \brief Two controls on one log; writes down what operators and processes send and are told.
+/// \brief Runs two control processes on one log and records their inputs and outputs, one per line.
 class RaceSession
 {
 public:
@@ -20,7 +20,7 @@
     }
   }
 
-  void Story(const std::string& what) { m_text << "# " << what << '\n'; }
+  void AddComment(const std::string& what) { m_text << "# " << what << '\n'; }
 
   void Lead(ControlNode& node, const std::string& name, std::uint64_t term)
   {
@@ -30,7 +30,7 @@
     Tick(node, name);
   }
 
-  /// \brief Lets all inputs reach a control in one tick.
+  /// \brief Delivers all inputs to a control process in one tick.
   void Send(ControlNode& node, const std::string& name, std::vector<ControlInput> inbox)
   {
     for (const ControlInput& input : inbox) {
@@ -41,12 +41,12 @@
         Line(name, "<") << "frame " << frame->peer << ' ' << BodyName(*frame->envelope) << '\n';
       }
     }
-    Show(name, node.Tick(std::move(inbox)));
+    RecordOutputs(name, node.Tick(std::move(inbox)));
   }
 
   void Tick(ControlNode& node, const std::string& name) { Send(node, name, {}); }
 
-  void Pass(Duration duration)
+  void AdvanceTime(Duration duration)
   {
     for (const TimePoint end = one.now + duration; one.now < end;) {
       one.now += ControlRole::kTickInterval;
@@ -65,9 +65,9 @@
     }
     std::ifstream file(path, std::ios::binary);
     ASSERT_TRUE(file.is_open()) << path;
-    std::ostringstream wanted;
-    wanted << file.rdbuf();
-    EXPECT_EQ(m_text.str(), wanted.str()) << path;
+    std::ostringstream expected;
+    expected << file.rdbuf();
+    EXPECT_EQ(m_text.str(), expected.str()) << path;
   }
 
   std::shared_ptr<ScriptedLog> log = std::make_shared<ScriptedLog>();
@@ -81,14 +81,14 @@
     return m_text << std::setw(6) << at << "ms " << name << ' ' << direction << ' ';
   }
 
-  void Show(const std::string& name, const std::vector<ControlOutput>& outbox)
+  void RecordOutputs(const std::string& name, const std::vector<ControlOutput>& outbox)
   {
     for (const ControlOutput& output : outbox) {
       if (const auto* answer = std::get_if<HttpAnswerOut>(&output)) {
         Line(name, ">") << "http " << answer->exchange << ' ' << answer->status.value_or(0) << ' '
                         << answer->bytes;
       } else if (const auto* frame = std::get_if<FrameOut>(&output)) {
-        ShowFrame(name, *frame);
+        RecordFrame(name, *frame);
       } else if (const auto* event = std::get_if<EventOut>(&output)) {
         std::ostream& line = Line(name, ">");
         line << "event " << event->number << ' ' << FindEvent(event->number)->name;
@@ -100,7 +100,7 @@
     }
   }
 
-  void ShowFrame(const std::string& name, const FrameOut& frame)
+  void RecordFrame(const std::string& name, const FrameOut& frame)
   {
     std::ostream& line = Line(name, ">");
     line << "frame " << frame.peer << ' ' << BodyName(*frame.envelope);
@@ -125,12 +125,12 @@
   return From("entry-1", std::move(query));
 }
 
-// Symptom: an operator's change vanishes, or takes effect twice.
-// Sequence: Winsome and Delroy hold revision 1 and write at once; the leader goes silent before
-// the winner hears of it; the winner sends its change again to the next leader, the loser writes
-// anew with what it was shown.
-// Cause: each of the three mechanisms missing: revisions compared in the log, change ids kept with
-// their outcome, answers only from a leader that a quorum confirms.
+// Guards against changes of operators that are lost or applied twice. Two operators write at once
+// on the basis of revision 1, and the leader is cut off before it answers either. The operator
+// whose change was committed retries it at the next leader; the other one writes again with the
+// revision from the conflict reply. Needs all three mechanisms: revisions compared when the log is
+// applied, change ids stored with their outcome, and answers only from a leader that a quorum
+// confirmed.
 TEST(ControlSession, TwoOperatorsRaceAndTheLeaderGoesSilent)
 {
   const auto change = [](const std::string& id, const std::string& version, const char* revision) {
@@ -141,18 +141,19 @@
     return Called(exchange, "POST", "/admin/v1/catalogue", body);
   };
   RaceSession session;
-  session.Story("control-1 leads; the entry exists at revision 1");
+  session.AddComment("control-1 leads; the entry exists at revision 1");
   session.Lead(session.one, "control-1", 1);
   session.Send(session.one, "control-1", { post(1, change("winsome-0", "2026-10", "0")) });
-  session.Pass(milliseconds(50));
+  session.AdvanceTime(milliseconds(50));
 
-  session.Story("two operators hold revision 1; both changes are accepted before either commits");
+  session.AddComment(
+    "two operators hold revision 1; both changes are accepted before either commits");
   session.log->holdBack = true;
   session.Send(
     session.one,
     "control-1",
     { post(2, change("winsome-1", "2026-11", "1")), post(3, change("delroy-1", "2026-12", "1")) });
-  session.Story("control-1 is cut off in silence; its followers commit both, control-2 leads");
+  session.AddComment("control-1 is cut off in silence; its followers commit both, control-2 leads");
   session.one.cutOff = true;
   session.log->Commit();
   session.log->holdBack = false;
@@ -160,23 +161,23 @@
   session.two.now = session.one.now;
   session.Lead(session.two, "control-2", 2);
 
-  session.Story("an entry asks both; only the leader that a quorum confirms answers");
+  session.AddComment("an entry asks both; only the leader that a quorum confirms answers");
   session.Send(session.one, "control-1", { Query(41, 2) });
   session.Send(session.two, "control-2", { Query(42, 2) });
-  session.Pass(milliseconds(5200));
+  session.AdvanceTime(milliseconds(5200));
 
-  session.Story("both operators got no outcome and send again, to control-2");
+  session.AddComment("both operators got no outcome and send again, to control-2");
   session.Send(session.two, "control-2", { post(4, change("winsome-1", "2026-11", "1")) });
   session.Send(session.two, "control-2", { post(5, change("delroy-1", "2026-12", "1")) });
-  session.Story("the loser writes anew with the revision it was shown");
+  session.AddComment("the loser writes anew with the revision it was shown");
   session.Send(session.two, "control-2", { post(6, change("delroy-2", "2026-12", "2")) });
-  session.Pass(milliseconds(100));
+  session.AdvanceTime(milliseconds(100));
 
-  session.Story("control-1 is back as a follower and points to the leader");
+  session.AddComment("control-1 is back as a follower and points to the leader");
   session.one.cutOff = false;
   session.one.leader = false;
   session.one.leaderHint = ProcessId("control-2");
-  session.Pass(milliseconds(50));
+  session.AdvanceTime(milliseconds(50));
   session.Send(session.one, "control-1", { Called(7, "GET", "/admin/v1/history") });
   session.Send(session.two, "control-2", { Called(8, "GET", "/admin/v1/history") });
   session.Compare(GOOSEBERRYSAIL_SOURCE_DIR "/tests/golden/control_operators_race.session");
--- a/tests/golden/request_session_test.cpp
+++ b/tests/golden/request_session_test.cpp
@@ -4,8 +4,9 @@
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
-// Sessions of requests through entries and an agent. After a wanted change of behaviour, write them
-// anew with GOOSEBERRYSAIL_WRITE_GOLDEN=1 and read the difference before committing it.
+// Recorded sessions of requests through entries and an agent. After an intended change of
+// behaviour, regenerate the files with GOOSEBERRYSAIL_WRITE_GOLDEN=1 and review the diff before
+// committing it.
 
 namespace gooseberrysail::test {
 namespace {
@@ -38,10 +39,10 @@
   world.Compare(GOOSEBERRYSAIL_SOURCE_DIR "/tests/golden/request_path.txt");
 }
 
-// Symptom: a streamed answer stops for good half-way, though both machines are well.
-// Sequence: something between entry and agent forgets their connection while the engine goes on;
-// heartbeats run out, a new connection works.
-// Cause: answers tied to a connection; nobody could ask for the part that was swallowed.
+// Guards against a streamed answer that stalls although both machines work. The connection between
+// entry and agent silently drops all data while the engine continues; after the heartbeat timeout a
+// new connection is opened. Answers must not be bound to a connection: the entry must be able to
+// request the part that was dropped.
 TEST(RequestSession, ASilentConnectionIsResumedByteForByte)
 {
   RequestWorld world;
@@ -64,9 +65,8 @@
   world.Compare(GOOSEBERRYSAIL_SOURCE_DIR "/tests/golden/request_silent_connection.txt");
 }
 
-// Symptom: answers mixed up or with parts in the wrong place.
-// Sequence: two answers run at once; their frames arrive in reversed order, each frame twice.
-// Cause: frames taken in order of arrival.
+// Guards against answers that are mixed up or assembled in the wrong order, as when frames are used
+// in order of arrival. Two answers run at once; their frames arrive reversed, each of them twice.
 TEST(RequestSession, LateAndReversedFramesReachTheirOwnCallerWhole)
 {
   RequestWorld world;
@@ -93,10 +93,10 @@
   world.Compare(GOOSEBERRYSAIL_SOURCE_DIR "/tests/golden/request_out_of_order.txt");
 }
 
-// Symptom: a foreman is told "not run", books again, and two rollers come.
-// Sequence: the booking's frame hangs on a connection that seems dead; the agent, asked over a new
-// one, doesn't know it; the frame arrives after that.
-// Cause: "unknown" told as "not run". Only what the agent has sealed can never start.
+// Guards against a "not run" outcome for a request that runs later, so that a retry runs it twice.
+// The request's frame is delayed on a connection that seems dead; the agent, queried over a new
+// connection, doesn't know the request; then the frame arrives. "Unknown" doesn't mean "not run":
+// only a request that the agent has sealed can never start.
 TEST(RequestSession, NotRunIsTrueAlsoWhenTheFrameArrivesLate)
 {
   RequestWorld world({ wire::TargetKind::Service, { "entry-1" } });
@@ -116,9 +116,8 @@
   world.Compare(GOOSEBERRYSAIL_SOURCE_DIR "/tests/golden/request_not_run.txt");
 }
 
-// Symptom: "not run" is told of a booking that was made.
-// Sequence: the agent hands the booking to the service and dies; the next agent knows nothing.
-// Cause: the new agent's ignorance taken for proof.
+// Guards against a "not run" outcome for a request that ran. The agent passes the request to the
+// service and is killed; the restarted agent has no record of it, which proves nothing.
 TEST(RequestSession, AfterAnAgentsDeathTheOutcomeIsCut)
 {
   RequestWorld world({ wire::TargetKind::Service, { "entry-1" } });
@@ -134,10 +133,9 @@
   world.Compare(GOOSEBERRYSAIL_SOURCE_DIR "/tests/golden/request_cut.txt");
 }
 
-// Symptom: a contractor is billed twice for one booking.
-// Sequence: the portal sends a booking through two entries at once; then resends another one after
-// its entry was killed, and a third one after the agent was killed.
-// Cause: each entry, or each life of one, decides by itself whether a key is new.
+// Guards against a request with an idempotency key that runs twice, as when each entry, or each
+// restart of one, decides by itself whether a key is new. One request is sent through two entries
+// at once, a second is resent after its entry was killed, a third after the agent was killed.
 TEST(RequestSession, AKeyedBookingRunsAtMostOnce)
 {
   RequestWorld world({ wire::TargetKind::Service, { "entry-1", "entry-2" } });
--- a/tests/process/agent_process_test.cpp
+++ b/tests/process/agent_process_test.cpp
@@ -43,9 +43,9 @@
   return boost::json::parse(reply.body).at("completions").to_number<std::uint64_t>();
 }
 
-// Symptom: a replica goes on serving while one of its VMs hangs, or never serves again after it.
-// Sequence: a member's agent is frozen and wakes up a few seconds later.
-// Cause: a frozen process keeps its connections; only its silence tells.
+// Guards against a replica that serves while one of its VMs hangs, or that never recovers from it.
+// A member's agent is stopped by SIGSTOP and continued a few seconds later. A stopped process keeps
+// its connections open, so that only its missing heartbeats show the failure.
 TEST(AgentProcess, AFrozenMemberClosesTheGateAndItsReturnOpensIt)
 {
   TestCluster cluster({ .controls = 1, .entries = 1 });
@@ -73,9 +73,9 @@
   EXPECT_TRUE(cluster.WaitServing()) << cluster.Outputs();
 }
 
-// Symptom: a head that was frozen past its lease serves on waking up, beside its successor.
-// Sequence: the head's agent is frozen for 6 s (the lease is 4 s) while a request is on its way.
-// Cause: the request waits in the frozen process's socket and is the first thing it reads.
+// Guards against a head that serves after its lease expired, at the same time as its successor. The
+// head's agent is stopped for 6 s (the lease is 4 s) while a request is sent to it. The request
+// waits in its socket buffer and is the first input that the agent reads once it continues.
 TEST(AgentProcess, AHeadThatWasFrozenPastItsLeaseRunsNothingThatWaitedForIt)
 {
   TestCluster cluster({ .controls = 1, .entries = 1 });
@@ -95,14 +95,14 @@
   caller.join();
   EXPECT_NE(answer.status, 200U) << answer.body;
   EXPECT_TRUE(cluster.WaitServing()) << cluster.Outputs();
-  // What ran since are WaitServing's own answered calls; the one that waited is not among them.
+  // WaitServing completes one call. The request sent during the freeze must not have run as well.
   const std::uint64_t after = Completions(cluster, head);
   EXPECT_LE(after, before + 1) << answer.body;
 }
 
-// Symptom: rolling out a new agent cuts answers.
-// Sequence: two replicas serve streams; one head's agent gets SIGTERM under load.
-// Cause: a process that ends takes the answers along that it forwards.
+// Guards against answers cut during the rollout of a new agent. Two replicas serve streams, and one
+// head's agent gets SIGTERM under load. An agent that exited at once would cut the answers that it
+// forwards.
 TEST(AgentProcess, SigtermUnderLoadCutsNothing)
 {
   constexpr int kCallers = 6;
--- a/tests/process/control_failure_test.cpp
+++ b/tests/process/control_failure_test.cpp
@@ -44,7 +44,7 @@
   return present;
 }
 
-/// Whether a learner was let in and then became a voter, by the leader's log.
+/// Whether the leader's log shows that a learner joined and was then promoted to a voter.
 bool WasPromoted(const std::string& output)
 {
   const auto joined = output.rfind("(learner)");
@@ -52,10 +52,10 @@
          output.find("RaftMembershipChanged", joined) != std::string::npos;
 }
 
-// Symptom: an operator was told that a change is in, and after a crash of control it is gone.
-// Sequence: changes go in one after another; the leader is killed between two of them; the other
-// two elect a new one.
-// Cause: an acknowledgement before a quorum synced the change would rest on the killed disk alone.
+// Guards against the loss of an acknowledged change after a crash of control. Changes are applied
+// one after another; the leader is killed between two of them, and the other two processes elect a
+// new one. A change acknowledged before a quorum synced it would be stored by the killed leader
+// alone.
 TEST(ControlFailure, AcknowledgedChangesOutliveAKilledLeader)
 {
   TestCluster cluster({ .controls = 3, .entries = 0 });
@@ -71,9 +71,9 @@
   EXPECT_EQ(CountPresent(cluster, kChanges), kChanges);
 }
 
-// Symptom: a control VM that froze for a while comes back and answers operators from old state.
-// Sequence: the leader is stopped by SIGSTOP; the others lead on and take a change; it is thawed.
-// Cause: a leader that doesn't know how long it slept still believes in its term.
+// Guards against stale reads from a former leader. The leader is stopped by SIGSTOP; the others
+// elect a new leader and commit a change; then the former leader continues. It can't tell how long
+// it was stopped and still acts as the leader of its old term.
 TEST(ControlFailure, AThawedLeaderAnswersNothingFromItsFormerTerm)
 {
   TestCluster cluster({ .controls = 3, .entries = 0 });
@@ -91,13 +91,13 @@
            .headers = { { "Authorization", "Bearer " + std::string(kOperatorToken) } } });
   EXPECT_TRUE(reply.status == 200 || reply.status == 421 || reply.status == 503)
     << reply.status << reply.body;
-  EXPECT_NE(reply.status, 404U) << "it answered from the time before its freeze";
+  EXPECT_NE(reply.status, 404U) << "answered from state older than its freeze";
   EXPECT_EQ(CountPresent(cluster, 2), 2U);
 }
 
-// Symptom: a control VM whose disk was replaced votes as if it still knew what it had promised.
-// Sequence: one of three loses its data folder and starts empty; later another one dies.
-// Cause: under its old name, an empty voter could elect a leader that lacks acknowledged changes.
+// Guards against a control process that lost its disk and votes without its former votes and log.
+// One of three loses its data folder and starts empty; later another one is killed. An empty voter
+// under its old name could elect a leader that lacks acknowledged changes.
 TEST(ControlFailure, AWipedVoterIsLetInAgainAndThenCarriesItsPart)
 {
   TestCluster cluster({ .controls = 3, .entries = 0 });
@@ -109,11 +109,11 @@
   cluster.Process(wiped).Kill();
   std::filesystem::remove_all(cluster.DataFolder(static_cast<std::size_t>(wiped.back() - '1')));
   cluster.Restart(wiped);
-  SECTION("the two others go on meanwhile")
+  SECTION("the other two commit changes meanwhile")
   {
     EXPECT_EQ(cluster.Apply(PolicyEntry(5)).status, 200U) << cluster.Outputs();
   }
-  SECTION("with a second loss, the one that was let in again makes the quorum")
+  SECTION("after a second loss, the readmitted process completes the quorum")
   {
     const auto promoted = [&] { return WasPromoted(cluster.Process(leader).Output()); };
     ASSERT_TRUE(WaitUntil(promoted, kReadyTimeout)) << cluster.Outputs();
@@ -123,10 +123,10 @@
   }
 }
 
-// Symptom: control can't be started after a power cut, or starts and has forgotten a change.
-// Sequence: the process is killed; the last record of its log is cut short; it starts again. Then
-// a byte in the middle is damaged.
-// Cause: a write that was under way is torn; a damaged middle means that synced data was lost.
+// Guards against a control process that can't start after a power cut, or that starts without an
+// acknowledged change. The process is killed, a partial record is appended to its log, and it
+// starts again; then two bytes in the middle are overwritten. A torn tail is an unfinished write
+// and is truncated; damage in the middle means that synced data was lost.
 TEST(ControlFailure, ATornTailIsCutAndADamagedMiddleIsRefusedWithItsPlace)
 {
   TestCluster cluster({ .controls = 1, .entries = 0 });
--- a/tests/process/observe_test.cpp
+++ b/tests/process/observe_test.cpp
@@ -22,8 +22,8 @@
   return { events.begin(), events.end() };
 }
 
-// What operators see of one request over real processes: the events of entry, agent and control in
-// one list, and each process's metrics.
+// Checks what operators can read about one request that ran through real processes: the merged
+// timeline of events, and the metrics of each process.
 TEST(Observe, TimelineAndMetricsTellOfARequestOverAllProcesses)
 {
   TestCluster cluster({ .controls = 1, .entries = 1 });
@@ -34,7 +34,7 @@
   ASSERT_EQ(answer.status, 200U);
   const std::string id = answer.Header("X-Request-Id");
 
-  SECTION("the time line of the request has the entry's and the agent's part")
+  SECTION("the timeline of the request has events of the entry and the agent")
   {
     const HttpReply reply = cluster.Admin("GET", "/admin/v1/timeline?request=" + id);
     ASSERT_EQ(reply.status, 200U) << reply.body;
@@ -50,7 +50,7 @@
     EXPECT_TRUE(names.contains("CallerAnswered")) << reply.body;
     EXPECT_EQ(roles, (std::set<std::string>{ "agent", "entry" }));
   }
-  SECTION("control answers for itself and nobody is missing")
+  SECTION("control contributes its own events and no process is missing")
   {
     const HttpReply reply = cluster.Admin("GET", "/admin/v1/timeline");
     EXPECT_THAT(reply.body, HasSubstr("LeadershipTaken"));
--- a/tests/process/platform_path_test.cpp
+++ b/tests/process/platform_path_test.cpp
@@ -14,7 +14,7 @@
 using namespace std::chrono_literals;
 using ::testing::HasSubstr;
 
-constexpr auto kSoon = 20s;
+constexpr auto kTimeout = 20s;
 
 std::string Config(int version, const std::string& extra = "")
 {
@@ -24,7 +24,7 @@
          R"("tenants":[{"name":"t1","apiKeys":["key-of-t1"]}])" + extra + "}";
 }
 
-/// One control process and one entry that find each other by a seed, on loopback.
+/// One control process and one entry on loopback; the entry discovers control through a seed.
 class Installation
 {
 public:
@@ -67,7 +67,7 @@
       m_folder.Path() + "/" + name + ".out");
   }
 
-  /// Sends a configuration until control gives a clear answer.
+  /// Sends a configuration until control answers with anything but 503.
   [[nodiscard]] unsigned Put(const std::string& config) const
   {
     unsigned status = 0;
@@ -76,7 +76,7 @@
         status = CallControl("PUT", config).status;
         return status != 0 && status != 503;
       },
-      kSoon));
+      kTimeout));
     return status;
   }
 
@@ -88,7 +88,7 @@
     return Call(call);
   }
 
-  [[nodiscard]] HttpReply Ask(const std::string& target, const std::string& key) const
+  [[nodiscard]] HttpReply CallEntry(const std::string& target, const std::string& key) const
   {
     HttpCall call{ .address = entryHttp, .method = "POST", .target = target };
     call.headers = { { "Host", "hire.example" },
@@ -128,28 +128,28 @@
   std::string m_peerPort;
 };
 
-// The whole path as separate processes: a configuration becomes an atomic change of control's log,
-// and an entry that found control by a seed obeys it.
+// Runs the whole path in separate processes: a configuration is committed as one atomic change of
+// control's log, and an entry that discovered control through a seed applies it.
 TEST(PlatformPath, AConfigurationIsInForceAtAnEntryAndNeverGoesBack)
 {
   Installation site;
-  EXPECT_TRUE(WaitUntil([&] { return site.Readiness() == 503; }, kSoon));
-  SECTION("before any, nothing is said not to exist")
+  EXPECT_TRUE(WaitUntil([&] { return site.Readiness() == 503; }, kTimeout));
+  SECTION("before the first configuration, no path is answered with 404")
   {
-    EXPECT_TRUE(WaitUntil([&] { return site.Ask("/nowhere", "x").status == 503; }, kSoon));
+    EXPECT_TRUE(WaitUntil([&] { return site.CallEntry("/nowhere", "x").status == 503; }, kTimeout));
   }
   EXPECT_EQ(site.Put(Config(7)), 200U);
-  EXPECT_TRUE(WaitUntil([&] { return site.Readiness() == 200; }, kSoon));
-  SECTION("routes and keys are known now")
+  EXPECT_TRUE(WaitUntil([&] { return site.Readiness() == 200; }, kTimeout));
+  SECTION("routes and keys are in force")
   {
-    EXPECT_EQ(site.Ask("/nowhere", "key-of-t1").status, 404U);
-    EXPECT_EQ(site.Ask("/a/x", "guess").status, 401U);
-    const HttpReply refused = site.Ask("/a/x", "key-of-t1");
+    EXPECT_EQ(site.CallEntry("/nowhere", "key-of-t1").status, 404U);
+    EXPECT_EQ(site.CallEntry("/a/x", "guess").status, 401U);
+    const HttpReply refused = site.CallEntry("/a/x", "key-of-t1");
     EXPECT_EQ(refused.status, 503U);
     EXPECT_NE(refused.Header("Retry-After"), "");
     EXPECT_THAT(refused.body, HasSubstr("not-run"));
   }
-  SECTION("what operators send again or wrong changes nothing")
+  SECTION("repeated, older, conflicting and malformed configurations change nothing")
   {
     EXPECT_EQ(site.Put(Config(7)), 200U);
     EXPECT_EQ(site.Put(Config(5)), 200U);
@@ -157,43 +157,42 @@
     EXPECT_EQ(site.Put("{\"version\":9"), 400U);
     EXPECT_EQ(site.CallControl("GET", "").body, Config(7));
   }
-  SECTION("and it outlives control's process")
+  SECTION("the configuration survives a restart of control")
   {
     site.control->Kill();
     site.control = site.Start("control");
-    EXPECT_TRUE(WaitUntil([&] { return site.CallControl("GET", "").body == Config(7); }, kSoon));
-    EXPECT_EQ(site.Ask("/nowhere", "key-of-t1").status, 404U);
+    EXPECT_TRUE(WaitUntil([&] { return site.CallControl("GET", "").body == Config(7); }, kTimeout));
+    EXPECT_EQ(site.CallEntry("/nowhere", "key-of-t1").status, 404U);
   }
 }
 
-// Symptom: callers lose their connections when the settings file changes.
-// Sequence: SIGHUP, with a good file and with a bad one.
-// Cause: without a handler the signal ends the process.
+// Guards against a process that ends when its settings are reloaded: without a handler, SIGHUP
+// would end it. Reloads a valid file by SIGHUP and an invalid one by the change of the file.
 TEST(PlatformPath, SettingsAreReadAgainWithoutLosingTheProcess)
 {
   Installation site;
   EXPECT_EQ(site.Put(Config(7)), 200U);
-  EXPECT_TRUE(WaitUntil([&] { return site.Readiness() == 200; }, kSoon));
+  EXPECT_TRUE(WaitUntil([&] { return site.Readiness() == 200; }, kTimeout));
   SECTION("by signal")
   {
     site.entry->Signal(SIGHUP);
-    EXPECT_NE(site.entry->WaitForLine("SettingsReloaded", kSoon), "");
+    EXPECT_NE(site.entry->WaitForLine("SettingsReloaded", kTimeout), "");
   }
   SECTION("a bad file, changed without a signal, is refused")
   {
     site.Write("entry.ini", site.EntrySettings("[process]\nnonsense = 1\n"));
-    EXPECT_THAT(site.entry->WaitForLine("SettingsRefused", kSoon), HasSubstr("nonsense"));
+    EXPECT_THAT(site.entry->WaitForLine("SettingsRefused", kTimeout), HasSubstr("nonsense"));
   }
   EXPECT_EQ(site.Readiness(), 200U);
-  EXPECT_EQ(site.Ask("/nowhere", "key-of-t1").status, 404U);
-  SECTION("a signal to leave is still obeyed, readiness first")
+  EXPECT_EQ(site.CallEntry("/nowhere", "key-of-t1").status, 404U);
+  SECTION("SIGTERM still ends the process, after readiness is withdrawn")
   {
     site.entry->Signal(SIGTERM);
-    EXPECT_TRUE(WaitUntil([&] { return site.Readiness() == 503; }, kSoon));
-    const int status = site.entry->WaitForExit(kSoon);
+    EXPECT_TRUE(WaitUntil([&] { return site.Readiness() == 503; }, kTimeout));
+    const int status = site.entry->WaitForExit(kTimeout);
     EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 0) << status;
     site.control->Signal(SIGTERM);
-    EXPECT_TRUE(WIFEXITED(site.control->WaitForExit(kSoon)));
+    EXPECT_TRUE(WIFEXITED(site.control->WaitForExit(kTimeout)));
   }
 }
 
--- a/tests/process/request_failure_test.cpp
+++ b/tests/process/request_failure_test.cpp
@@ -39,9 +39,8 @@
   TestCluster m_cluster{ { .controls = 1, .entries = 2 } };
 };
 
-// Symptom: a contractor is billed twice for one roller.
-// Sequence: the booking goes to two entries at the same time with the same Idempotency-Key.
-// Cause: each entry alone can't know of the other's attempt.
+// Guards against a request that runs twice because two entries get it at the same time with the
+// same Idempotency-Key. An entry alone doesn't know about the other's attempt.
 TEST_F(AtMostOnce, OneKeyThroughTwoEntriesAtOnceRunsOnce)
 {
   static_cast<void>(
@@ -53,7 +52,7 @@
   EXPECT_EQ(TimesBooked(m_cluster, "vm-portal", "booking-1"), 1U);
   EXPECT_TRUE(first.status == 201 || second.status == 201) << first.body << second.body;
 
-  SECTION("asking again gives the first answer")
+  SECTION("a retry gets the first answer")
   {
     HttpReply again;
     ASSERT_TRUE(WaitUntil(
@@ -67,10 +66,9 @@
   }
 }
 
-// Symptom: a booking is made twice after an entry VM died.
-// Sequence: the entry is killed while the service works on the booking; the caller, without an
-// answer, sends it again through another entry.
-// Cause: the claim must outlive the entry that holds it.
+// Guards against a request that runs twice after the failure of an entry. The entry is killed while
+// the service works on the request; the caller gets no answer and retries through another entry.
+// The claim on the key must outlive the entry that holds it.
 TEST_F(AtMostOnce, AKeyResentAfterItsEntryWasKilledDoesNotRunAgain)
 {
   static_cast<void>(
@@ -81,14 +79,14 @@
   m_cluster.Process("entry-1").Kill();
   caller.join();
   const HttpReply resent = Book(m_cluster, 1, "booking-2");
-  EXPECT_NE(resent.status, 201U) << "nobody holds that answer";
+  EXPECT_NE(resent.status, 201U) << "no process has that answer";
   EXPECT_NE(resent.body.find("reason"), std::string::npos) << resent.body;
   EXPECT_EQ(TimesBooked(m_cluster, "vm-portal", "booking-2"), 1U);
 }
 
-// Symptom: a booking is made twice after the agent beside the service died.
-// Sequence: the agent is killed while the service works; the caller sends the booking again.
-// Cause: the new agent knows nothing of the booking, and "unknown" is not "never ran".
+// Guards against a request that runs twice after the failure of the service's agent. The agent is
+// killed while the service works on the request, and the caller retries. The restarted agent has no
+// record of the request, which doesn't prove that it never ran.
 TEST_F(AtMostOnce, AKeyResentAfterItsAgentWasKilledDoesNotRunAgain)
 {
   static_cast<void>(
@@ -107,9 +105,9 @@
   EXPECT_EQ(TimesBooked(m_cluster, "vm-portal", "booking-3"), 1U);
 }
 
-// Symptom: a replica goes on answering while one of its VMs is frozen, or never serves again.
-// Sequence: one member's agent is frozen by SIGSTOP, past the member timeout, and thawed.
-// Cause: a frozen process keeps its connections; only missing beats tell.
+// Guards against a replica that answers while one of its VMs is frozen, or that never serves again.
+// One member's agent is stopped by SIGSTOP for longer than the member timeout, then continued. A
+// stopped process keeps its connections open, so that only missing heartbeats show the failure.
 TEST(Membership, AFrozenMemberClosesTheGateUntilItIsBack)
 {
   TestCluster cluster({ .controls = 1, .entries = 1 });
@@ -129,8 +127,8 @@
   EXPECT_TRUE(cluster.WaitServing()) << cluster.Outputs();
 }
 
-/// Callers that ask one after another, and what they got. Like the platform's balancer they send no
-/// more once an entry answered that it is leaving.
+/// Callers in threads of their own, each with one request at a time, and counts of their outcomes.
+/// Like the platform's balancer, they stop once an entry answers that it is shutting down.
 class Load
 {
 public:
@@ -138,7 +136,7 @@
   {
     for (std::size_t index = 0; index < callers; ++index) {
       const bool stream = index % 4 == 0;
-      m_threads.emplace_back([this, &cluster, stream] { Work(cluster, stream); });
+      m_threads.emplace_back([this, &cluster, stream] { SendRequests(cluster, stream); });
     }
   }
   ~Load() { Stop(); }
@@ -158,7 +156,7 @@
   [[nodiscard]] std::size_t Cut() const { return m_cut; }
 
 private:
-  void Work(const TestCluster& cluster, bool stream)
+  void SendRequests(const TestCluster& cluster, bool stream)
   {
     while (!m_stop) {
       const HttpReply reply = cluster.Chat(0, "Draft a long hire agreement for a crane.", stream);
@@ -170,15 +168,15 @@
         ++m_refused;
         StopIf(reply.body.find("shutting-down") != std::string::npos);
       } else {
-        // A closed listener is no cut: nothing was taken in. Everything else is.
+        // A refused connection cuts no answer, since the request was not accepted. All else does.
         m_cut += reply.failure.find("refused") == std::string::npos ? 1 : 0;
         StopIf(reply.status == 0);
       }
     }
   }
 
-  // Only ever sets the flag. Written back as `m_stop = m_stop || ended`, a caller that had read it
-  // before Stop() would clear it again, and Stop() would wait for callers that never end.
+  // Only ever sets the flag. With `m_stop = m_stop || ended`, a caller that read the flag before
+  // Stop() set it would clear it again, and Stop() would wait forever.
   void StopIf(bool ended)
   {
     if (ended) {
@@ -206,7 +204,7 @@
     }
   }
 
-  /// Runs load, stops `process` by SIGTERM in the midst of it, and expects that nothing was cut.
+  /// Sends SIGTERM to `process` under load, and expects a clean exit without a cut answer.
   void StopUnderLoad(const std::string& process)
   {
     Load load(m_cluster, 32);
@@ -223,9 +221,8 @@
   TestCluster m_cluster{ { .controls = 1, .entries = 1 } };
 };
 
-// Symptom: at each update of a process some answers end in the middle.
-// Sequence: a process gets SIGTERM while many requests run, long streams among them.
-// Cause: leaving before the last answer was taken by its caller.
+// Guards against answers cut whenever a process is updated. A process gets SIGTERM while many
+// requests run, long streams among them; it must not exit before its last answer was delivered.
 TEST_F(GracefulStop, AnEntryLeavesWithoutCuttingAnAnswer)
 {
   StopUnderLoad("entry-1");
--- a/tests/process/silent_connection_test.cpp
+++ b/tests/process/silent_connection_test.cpp
@@ -7,10 +7,10 @@
 namespace gooseberrysail::test {
 namespace {
 
-// Symptom: a foreman's draft stops in the middle and never goes on, though every process is well.
-// Sequence: an answer streams; something between entry and agent loses track of their connection
-// and swallows its bytes both ways, without closing it; new connections work. Cause: no end of such
-// a connection ever hears of an error; only heartbeats tell.
+// Guards against a streamed answer that stalls forever although all processes work. While an answer
+// streams, the network silently drops all data of the connection between entry and agent, in both
+// directions; new connections work. Neither end gets an error, so that only missing heartbeats show
+// the failure.
 TEST(SilentConnection, TheStreamGoesOnOverANewConnectionByteForByte)
 {
   const std::string agentAddress = FreeAddress();
@@ -48,7 +48,7 @@
   EXPECT_TRUE(answer.whole) << answer.failure << cluster.Outputs();
   EXPECT_EQ(answer.body, direct.body);
   EXPECT_NE(cluster.Process("entry-1").Output().find("AttemptResumed"), std::string::npos)
-    << "it never lost the connection";
+    << "the attempt was not resumed on another connection";
 }
 
 } // namespace
--- a/tests/process/soak_test.cpp
+++ b/tests/process/soak_test.cpp
@@ -11,7 +11,7 @@
 
 using namespace std::chrono_literals;
 
-/// Seeds that run each time; each that ever failed is here for good, with its cause.
+/// Runs the soak with fixed seeds. A seed that fails is added to them permanently, with its cause.
 class Soak : public ::testing::TestWithParam<std::uint64_t>
 {};
 
@@ -33,9 +33,8 @@
   }
 }
 
-// Symptom: three soaks that ran beside one another ended at one moment without a message. Sequence:
-// the shell that had started them ended. Cause: a signal that ended them left no word of itself, so
-// that it could only be guessed.
+// Guards against soaks that end without a message: three that ran in parallel ended at once when
+// the shell that had started them ended, and nothing showed which signal had ended them.
 TEST(SoakProgram, TellsWhichSignalEndedIt)
 {
   const test::TemporaryFolder folder;
--- a/tests/process/thin_path_test.cpp
+++ b/tests/process/thin_path_test.cpp
@@ -17,8 +17,8 @@
   return details.contains("outcome") ? std::string(details.at("outcome").as_string()) : "";
 }
 
-// One request's whole way through separate processes: a caller, an entry, the agent of a head VM,
-// its engine, and control, which formed the group.
+// Sends one request through separate processes: a caller, an entry, the agent of a head VM and its
+// engine, in a group that control formed.
 TEST(ThinPath, ServesARequestEndToEndAndTellsWhatBecameOfIt)
 {
   TestCluster cluster({ .controls = 1, .entries = 1 });
@@ -35,7 +35,7 @@
     EXPECT_TRUE(answer.whole);
     EXPECT_NE(answer.body.find("chat.completion"), std::string::npos) << answer.body;
 
-    SECTION("and the request can be read back")
+    SECTION("the record of the request can be read")
     {
       const std::string id = answer.Header("X-Request-Id");
       const HttpReply record = cluster.Admin("GET", "/admin/v1/requests/" + id);
@@ -50,7 +50,7 @@
     EXPECT_TRUE(answer.whole) << answer.failure;
     EXPECT_NE(answer.body.find("data: [DONE]"), std::string::npos) << answer.body;
   }
-  SECTION("a plain service is reached too")
+  SECTION("a plain service answers")
   {
     ASSERT_TRUE(cluster.WaitService("/services/booking-portal/stock/kingston"));
   }
@@ -67,9 +67,9 @@
   }
 }
 
-// Symptom: an engineer asks an entry what became of a request and is told that nobody knows.
-// Sequence: the balancer sends the request to one entry and the question to another.
-// Cause: entries have no connections with each other; the question must pass through control.
+// Guards against a 404 for the record of a request that another entry handled. The balancer may
+// send the request to one entry and the query for its record to another. Entries have no
+// connections with each other, so that the query must go through control.
 TEST(ThinPath, AnyEntryTellsWhatBecameOfARequest)
 {
   TestCluster cluster({ .controls = 1, .entries = 2 });
@@ -88,9 +88,9 @@
   EXPECT_EQ(unknown.status, 404U) << unknown.body;
 }
 
-// Symptom: a replica that lost one of its VMs would answer with garbage or hang.
-// Sequence: the group serves; one member's agent is killed; the next request arrives.
-// Cause: nothing but the beats of its members tells a head that one is gone.
+// Guards against a replica that answers with garbage or hangs after the loss of one of its VMs. One
+// member's agent is killed while the group serves, then a request arrives. Only the heartbeats of
+// its members show the head that one is gone.
 TEST(ThinPath, AKilledMemberClosesTheGateAndTheCallerIsToldThatNothingRan)
 {
   TestCluster cluster({ .controls = 1, .entries = 1 });
@@ -111,9 +111,9 @@
   EXPECT_NE(refused.Header("Retry-After"), "");
 }
 
-// Symptom: an accepted catalogue change is gone after control's VM lost power.
-// Sequence: a change is acknowledged; control is killed at once and started again.
-// Cause: an acknowledgement before the sync promises what only the page cache holds.
+// Guards against an acknowledged catalogue change that is lost with the power of control's VM.
+// Control is killed right after the acknowledgement and started again. A change acknowledged before
+// the sync might exist in the page cache alone.
 TEST(ThinPath, TheCatalogueSurvivesKillAndRestartOfControl)
 {
   TestCluster cluster({ .controls = 1, .entries = 1 });
--- a/tests/support/golden_session.cpp
+++ b/tests/support/golden_session.cpp
@@ -19,7 +19,7 @@
   std::string text = "\"";
   for (const auto byte : bytes) {
     if (byte == '\n') {
-      text += "\\n"; // A session has one line an input or output.
+      text += "\\n"; // Each input or output takes one line.
     } else {
       text += static_cast<char>(byte);
     }
@@ -277,17 +277,17 @@
   }
   std::ifstream file(path, std::ios::binary);
   ASSERT_TRUE(file.is_open()) << path;
-  std::ostringstream wanted;
-  wanted << file.rdbuf();
-  std::istringstream wantedLines(wanted.str());
-  std::istringstream gotLines(m_text);
-  std::string wantedLine;
-  std::string gotLine;
-  for (std::size_t number = 1; std::getline(wantedLines, wantedLine); ++number) {
-    std::getline(gotLines, gotLine);
-    ASSERT_EQ(gotLine, wantedLine) << path << ':' << number;
+  std::ostringstream expected;
+  expected << file.rdbuf();
+  std::istringstream expectedLines(expected.str());
+  std::istringstream actualLines(m_text);
+  std::string expectedLine;
+  std::string actualLine;
+  for (std::size_t number = 1; std::getline(expectedLines, expectedLine); ++number) {
+    std::getline(actualLines, actualLine);
+    ASSERT_EQ(actualLine, expectedLine) << path << ':' << number;
   }
-  EXPECT_EQ(m_text, wanted.str()) << "the session goes on after the end of " << path;
+  EXPECT_EQ(m_text, expected.str()) << "the session continues after the end of " << path;
 }
 
 } // namespace gooseberrysail::test
--- a/tests/support/golden_session.hpp
+++ b/tests/support/golden_session.hpp
@@ -7,7 +7,7 @@
 
 namespace gooseberrysail::test {
 
-/// \brief Collects what enters and leaves a role under scripted time, one line each.
+/// \brief Records the inputs and outputs of a role under scripted time, one line each.
 /// \code
 /// GoldenSession session(agent.Now());
 /// agent.onOutput = [&](TimePoint now, const AgentOutput& output) { session.RecordOutput(now,
@@ -25,14 +25,14 @@
   void RecordInput(TimePoint now, const AgentInput& input);
   void RecordOutput(TimePoint now, const AgentOutput& output);
 
-  /// \brief The same in a session of several processes: each line names its own.
+  /// \brief The same for a session of several processes: each line names its process.
   void RecordInput(TimePoint now, std::string_view process, const AgentInput& input);
   void RecordOutput(TimePoint now, std::string_view process, const AgentOutput& output);
   void RecordInput(TimePoint now, std::string_view process, const EntryInput& input);
   void RecordOutput(TimePoint now, std::string_view process, const EntryOutput& output);
 
-  /// \brief Fails the test where the session differs from this file.
-  /// \remarks With GOOSEBERRYSAIL_WRITE_GOLDEN set, writes it instead and fails.
+  /// \brief Fails the test if the session differs from the golden file.
+  /// \remarks With GOOSEBERRYSAIL_WRITE_GOLDEN set, writes the file instead and fails.
   void Compare(const std::string& path) const;
   [[nodiscard]] const std::string& Text() const noexcept { return m_text; }
 
