--- a/tests/soak/callers.cpp
+++ b/tests/soak/callers.cpp
@@ -12,10 +12,10 @@
 
 namespace {
 
-/// Half of the requests may run once only.
-constexpr double kOncePart = 0.5;
-constexpr auto kPause = 10ms;
-constexpr auto kPatience = 2500ms;
+/// The share of requests that must not run more than once.
+constexpr double kNonRepeatableShare = 0.5;
+constexpr auto kPauseBetweenRequests = 10ms;
+constexpr auto kRequestTimeout = 2500ms;
 
 } // namespace
 
@@ -27,7 +27,7 @@
   , m_ledger(ledger)
 {
   for (std::size_t number = 0; number < count; ++number) {
-    m_threads.emplace_back([this, number, seed] { Work(number, seed + number); });
+    m_threads.emplace_back([this, number, seed] { SendRequests(number, seed + number); });
   }
 }
 
@@ -41,28 +41,29 @@
   }
 }
 
-void Callers::Work(std::size_t number, std::uint64_t seed)
+void Callers::SendRequests(std::size_t number, std::uint64_t seed)
 {
   std::mt19937_64 random(seed);
-  std::uint64_t asked = 0;
+  std::uint64_t sent = 0;
   test::KeptConnection connection;
   while (!m_stop) {
-    const std::string id = "c" + std::to_string(number) + "-" + std::to_string(++asked);
-    const bool isOnce = std::uniform_real_distribution<>(0, 1)(random) < kOncePart;
+    const std::string id = "c" + std::to_string(number) + "-" + std::to_string(++sent);
+    const bool isNonRepeatable =
+      std::uniform_real_distribution<>(0, 1)(random) < kNonRepeatableShare;
     test::HttpCall call{ .address = m_entries[random() % m_entries.size()], .method = "POST" };
-    call.target = isOnce ? "/once/x" : "/safe/x";
+    call.target = isNonRepeatable ? "/once/x" : "/safe/x";
     call.headers = { { "Host", "desk.example" },
                      { "X-Request-Id", id },
                      { "X-Request-Deadline", "2000" },
                      { "Authorization", "Bearer key-of-t1" } };
     call.body = "body of " + id;
-    call.timeout = kPatience;
-    m_ledger.OnAsked(id, !isOnce);
+    call.timeout = kRequestTimeout;
+    m_ledger.OnRequestSent(id, !isNonRepeatable);
     const test::HttpReply reply = connection.Call(call);
     const bool isOwn = reply.whole && reply.body == AnswerTo(id) &&
                        reply.Header("X-Response-Seal").ends_with("." + id);
-    m_ledger.OnTold(id, reply.status, isOwn);
-    std::this_thread::sleep_for(kPause);
+    m_ledger.OnReply(id, reply.status, isOwn);
+    std::this_thread::sleep_for(kPauseBetweenRequests);
   }
 }
 
--- a/tests/soak/callers.hpp
+++ b/tests/soak/callers.hpp
@@ -7,7 +7,8 @@
 
 namespace gooseberrysail::soak {
 
-/// \brief Callers that keep their connections open until an entry closes them or is gone.
+/// \brief Sends requests from several threads and records their replies in the ledger.
+/// \remarks Each thread reuses its connection until an entry closes it or ends.
 class Callers
 {
 public:
@@ -16,11 +17,11 @@
   Callers(const Callers&) = delete;
   Callers& operator=(const Callers&) = delete;
 
-  /// \brief Waits until each has its last answer.
+  /// \brief Stops sending and waits for the replies to the last requests.
   void Stop();
 
 private:
-  void Work(std::size_t number, std::uint64_t seed);
+  void SendRequests(std::size_t number, std::uint64_t seed);
 
   std::vector<std::string> m_entries;
   Ledger& m_ledger;
--- a/tests/soak/cluster.cpp
+++ b/tests/soak/cluster.cpp
@@ -16,18 +16,19 @@
 namespace {
 
 constexpr std::size_t kControls = 3;
-constexpr auto kGrace = 10s;
+constexpr auto kStopTimeout = 10s;
 
 std::string PortOf(const std::string& address)
 {
   return address.substr(address.rfind(':') + 1);
 }
 
-/// Control processes share their ports, as the platform's machines do, and differ by address.
-/// Soaks that run beside one another were given the same port, since a port is free only at the
-/// moment in which it is looked for: control ended with "Address already in use", and callers of
-/// one soak were answered by the other's processes. So each soak has loopback addresses of its own.
-std::string OwnIp(std::size_t number)
+/// Returns a loopback address derived from the process id, so that parallel soaks use different
+/// ones. Control processes share their port numbers and differ by address, as on the platform. A
+/// port is known to be free only when it is looked up: parallel soaks on one address chose the same
+/// port, so that control failed with "Address already in use", and processes of one soak answered
+/// callers of another.
+std::string LoopbackIp(std::size_t number)
 {
   constexpr std::uint32_t kAddressesPerSoak = kControls + 1;
   const std::uint32_t host =
@@ -38,12 +39,12 @@
 
 std::string ControlIp(std::size_t number)
 {
-  return OwnIp(number + 1);
+  return LoopbackIp(number + 1);
 }
 
 std::string FreeEntryAddress()
 {
-  return OwnIp(0) + ":" + PortOf(test::FreeAddress());
+  return LoopbackIp(0) + ":" + PortOf(test::FreeAddress());
 }
 
 std::string Config(std::uint64_t version)
@@ -77,7 +78,7 @@
   }
 }
 
-std::string Cluster::Common(const std::string& ip) const
+std::string Cluster::CommonSettings(const std::string& ip) const
 {
   std::string seeds;
   for (const std::string& control : m_controls) {
@@ -96,7 +97,7 @@
   std::ofstream(m_folder.Path() + "/" + name + ".ini")
     << "[process]\nrole = control\ninterface = platform\nname = control-" << ControlIp(number)
     << "\nhttpListen = " << m_controls[number] << "\n"
-    << Common(ControlIp(number) + ":" + m_peerPort) << "[control]\ndataFolder = " << data
+    << CommonSettings(ControlIp(number) + ":" + m_peerPort) << "[control]\ndataFolder = " << data
     << "\nelectionTimeout = 400\ntoleratedLosses = 1\noperatorTokenHash = " << std::string(64, '0')
     << "\n";
   Start(name);
@@ -108,7 +109,7 @@
   std::ofstream(m_folder.Path() + "/" + name + ".ini")
     << "[process]\nrole = entry\ninterface = platform\nname = " << name
     << "\nhttpListen = " << m_entries[number] << "\nreadyListen = " << FreeEntryAddress() << "\n"
-    << Common(OwnIp(0) + ":0");
+    << CommonSettings(LoopbackIp(0) + ":0");
   Start(name);
 }
 
@@ -144,9 +145,9 @@
 bool Cluster::StopAndRestart(const std::string& name)
 {
   test::ChildProcess& process = *m_processes.at(name);
-  process.Signal(SIGCONT); // One that is paused can't leave.
+  process.Signal(SIGCONT); // A process that is paused can't handle SIGTERM.
   process.Signal(SIGTERM);
-  const int status = process.WaitForExit(kGrace);
+  const int status = process.WaitForExit(kStopTimeout);
   Start(name);
   return status != -1 && WIFEXITED(status) && WEXITSTATUS(status) == 0;
 }
--- a/tests/soak/ledger.cpp
+++ b/tests/soak/ledger.cpp
@@ -2,23 +2,23 @@
 
 namespace gooseberrysail::soak {
 
-bool IsPromise(unsigned status) noexcept
+bool GuaranteesNotRun(unsigned status) noexcept
 {
   return status == 408 || status == 421 || status == 429 || status == 503;
 }
 
-void Ledger::OnAsked(const std::string& id, bool isRepeatable)
+void Ledger::OnRequestSent(const std::string& id, bool isRepeatable)
 {
   const std::scoped_lock lock(m_mutex);
-  m_rows[id].isRepeatable = isRepeatable;
+  m_records[id].isRepeatable = isRepeatable;
 }
 
 void Ledger::OnRun(const std::string& id, const std::string& replica)
 {
   const std::scoped_lock lock(m_mutex);
-  const auto row = m_rows.find(id);
-  if (row == m_rows.end()) {
-    m_violations.push_back(replica + " ran " + id + ", which nobody asked");
+  const auto row = m_records.find(id);
+  if (row == m_records.end()) {
+    m_violations.push_back(replica + " ran " + id + ", which no caller sent");
     return;
   }
   if (++row->second.runs == 1) {
@@ -33,15 +33,15 @@
   OnViolation(id + " reached a replica with " + what);
 }
 
-void Ledger::OnTold(const std::string& id, unsigned status, bool isOwn)
+void Ledger::OnReply(const std::string& id, unsigned status, bool isOwn)
 {
   const std::scoped_lock lock(m_mutex);
-  Row& row = m_rows[id];
+  RequestRecord& row = m_records[id];
   row.status = status;
   row.isOwn = isOwn;
-  row.isTold = true;
+  row.hasReply = true;
   if (status / 100 == 2 && !isOwn) {
-    m_violations.push_back(id + " was answered with a success that is not its own whole answer");
+    m_violations.push_back(id + " got a success status without its own complete answer");
   }
 }
 
@@ -51,18 +51,18 @@
   m_violations.push_back(what);
 }
 
-// "Not run" must stay true: a request that was refused may still be on its way to a replica.
+// Checked at the end, since a request that was refused may still reach a replica later.
 std::vector<std::string> Ledger::Violations()
 {
   const std::scoped_lock lock(m_mutex);
   std::vector<std::string> violations = m_violations;
-  for (const auto& [id, row] : m_rows) {
-    if (row.isTold && IsPromise(row.status) && row.runs > 0 && !row.isRepeatable) {
+  for (const auto& [id, row] : m_records) {
+    if (row.hasReply && GuaranteesNotRun(row.status) && row.runs > 0 && !row.isRepeatable) {
       violations.push_back(id + " was refused with " + std::to_string(row.status) + " and ran at " +
                            row.firstReplica);
     }
-    if (row.isTold && row.status / 100 == 2 && row.runs == 0) {
-      violations.push_back(id + " was answered and ran nowhere");
+    if (row.hasReply && row.status / 100 == 2 && row.runs == 0) {
+      violations.push_back(id + " got a success status and ran nowhere");
     }
   }
   return violations;
@@ -72,10 +72,10 @@
 {
   const std::scoped_lock lock(m_mutex);
   Totals totals;
-  for (const auto& [id, row] : m_rows) {
+  for (const auto& [id, row] : m_records) {
     ++totals.asked;
-    totals.answered += row.isTold && row.status / 100 == 2 ? 1 : 0;
-    totals.refused += row.isTold && IsPromise(row.status) ? 1 : 0;
+    totals.answered += row.hasReply && row.status / 100 == 2 ? 1 : 0;
+    totals.refused += row.hasReply && GuaranteesNotRun(row.status) ? 1 : 0;
   }
   totals.unclear = totals.asked - totals.answered - totals.refused;
   return totals;
--- a/tests/soak/replica.cpp
+++ b/tests/soak/replica.cpp
@@ -14,7 +14,7 @@
 using namespace std::chrono_literals;
 
 constexpr auto kHeartbeat = 400ms;
-constexpr auto kWork = 15ms;
+constexpr auto kServiceTime = 15ms;
 constexpr std::size_t kPadding = 3000;
 
 tcp::endpoint Loopback()
@@ -48,7 +48,7 @@
 Replica::~Replica()
 {
   m_stop = true;
-  // A blocked accept does not notice that its socket is closed; a connection wakes it.
+  // Closing the socket doesn't interrupt a blocked accept; a connection does.
   Socket wake(m_io);
   boost::system::error_code ignored;
   wake.connect(m_acceptor.local_endpoint(), ignored);
@@ -59,7 +59,7 @@
 
 void Replica::Restart()
 {
-  ++m_life;
+  ++m_generation;
   CloseConnections();
 }
 
@@ -79,13 +79,13 @@
 
 std::string Replica::Instance() const
 {
-  return m_name + "-" + std::to_string(m_life);
+  return m_name + "-" + std::to_string(m_generation);
 }
 
-bool Replica::Draw(double part)
+bool Replica::DrawWithProbability(double probability)
 {
   const std::scoped_lock lock(m_mutex);
-  return std::uniform_real_distribution<>(0, 1)(m_random) < part;
+  return std::uniform_real_distribution<>(0, 1)(m_random) < probability;
 }
 
 void Replica::Accept()
@@ -104,9 +104,9 @@
 
 void Replica::Serve(Socket& socket)
 {
-  const std::uint64_t life = m_life;
+  const std::uint64_t generation = m_generation;
   boost::beast::flat_buffer buffer;
-  while (!m_stop && m_life == life) {
+  while (!m_stop && m_generation == generation) {
     http::request<http::string_body> request;
     boost::system::error_code error;
     http::read(socket, buffer, request, error);
@@ -114,9 +114,9 @@
       break;
     }
     const std::string id(request["X-Request-Id"]);
-    const bool isOther = std::string(request["X-Expect-Instance"]) != Instance();
+    const bool isForOtherInstance = std::string(request["X-Expect-Instance"]) != Instance();
     const bool hasKey = request.count(http::field::authorization) != 0;
-    if (!Answer(socket, id, isOther, hasKey)) {
+    if (!Answer(socket, id, isForOtherInstance, hasKey)) {
       break;
     }
   }
@@ -124,12 +124,12 @@
   socket.shutdown(tcp::socket::shutdown_both, ignored);
 }
 
-bool Replica::Answer(Socket& socket, const std::string& id, bool isOther, bool hasKey)
+bool Replica::Answer(Socket& socket, const std::string& id, bool isForOtherInstance, bool hasKey)
 {
   http::response<http::string_body> answer;
   answer.set("X-Request-Id", id);
   boost::system::error_code error;
-  if (isOther) {
+  if (isForOtherInstance) {
     answer.result(http::status::misdirected_request);
     answer.set("X-Not-Executed", "1");
     answer.prepare_payload();
@@ -139,16 +139,16 @@
   const std::string instance = Instance();
   m_ledger.OnRun(id, instance);
   if (hasKey) {
-    m_ledger.OnLeak(id, "its caller's key");
+    m_ledger.OnLeak(id, "the API key of its caller");
   }
-  std::this_thread::sleep_for(kWork);
-  if (Draw(m_losesAnswers)) {
+  std::this_thread::sleep_for(kServiceTime);
+  if (DrawWithProbability(m_answerLossRate)) {
     return false;
   }
   answer.set("X-Response-Seal", instance + "." + id);
   answer.body() = AnswerTo(id);
   answer.prepare_payload();
-  if (Draw(m_breaksAnswers)) {
+  if (DrawWithProbability(m_answerTruncationRate)) {
     boost::beast::flat_buffer whole;
     boost::beast::ostream(whole) << answer;
     const auto half = boost::asio::buffer(whole.data().data(), whole.size() / 2);
--- a/tests/soak/replica.hpp
+++ b/tests/soak/replica.hpp
@@ -15,8 +15,8 @@
 namespace gooseberrysail::soak {
 
 /// \brief A replica of a plain service that announces itself to control, behind a relay.
-/// \remarks Speaks the platform's protocol as its pages tell it: refuses what names another life of
-/// it, echoes the request's id, seals its answers.
+/// \remarks Implements the documented protocol of the platform: refuses requests that expect
+/// another instance, returns the id of the request, and seals its answers.
 class Replica
 {
 public:
@@ -25,12 +25,12 @@
   Replica(const Replica&) = delete;
   Replica& operator=(const Replica&) = delete;
 
-  /// \brief Another life at the same address: open connections break, the id is new.
+  /// \brief Closes all connections and continues as a new instance at the same address.
   void Restart();
-  /// \brief Part of the requests that run and whose answer is lost, 0 to 1.
-  void LoseAnswers(double part) { m_losesAnswers = part; }
-  /// \brief Part of the answers that end in the middle, 0 to 1.
-  void BreakAnswers(double part) { m_breaksAnswers = part; }
+  /// \brief Sets the share of requests that run and get no answer, 0 to 1.
+  void SetAnswerLossRate(double rate) { m_answerLossRate = rate; }
+  /// \brief Sets the share of answers that are truncated, 0 to 1.
+  void SetAnswerTruncationRate(double rate) { m_answerTruncationRate = rate; }
   [[nodiscard]] test::RelayThread& Relay() { return *m_relay; }
 
 private:
@@ -44,11 +44,11 @@
 
   void Accept();
   void Serve(Socket& socket);
-  /// \returns False when the connection must end.
-  bool Answer(Socket& socket, const std::string& id, bool isOther, bool hasKey);
+  /// \returns False if the connection must be closed.
+  bool Answer(Socket& socket, const std::string& id, bool isForOtherInstance, bool hasKey);
   void Announce();
   [[nodiscard]] std::string Instance() const;
-  [[nodiscard]] bool Draw(double part);
+  [[nodiscard]] bool DrawWithProbability(double probability);
   void CloseConnections();
 
   std::string m_name;
@@ -57,18 +57,18 @@
   boost::asio::io_context m_io;
   boost::asio::ip::tcp::acceptor m_acceptor;
   std::unique_ptr<test::RelayThread> m_relay;
-  std::atomic<std::uint64_t> m_life = 1;
-  std::atomic<double> m_losesAnswers = 0;
-  std::atomic<double> m_breaksAnswers = 0;
+  std::atomic<std::uint64_t> m_generation = 1;
+  std::atomic<double> m_answerLossRate = 0;
+  std::atomic<double> m_answerTruncationRate = 0;
   std::atomic<bool> m_stop = false;
-  std::mutex m_mutex; ///< Guards what follows.
+  std::mutex m_mutex; ///< Guards m_random and m_connections.
   std::mt19937_64 m_random;
   std::list<Connection> m_connections;
   std::thread m_acceptThread;
   std::thread m_announceThread;
 };
 
-/// \brief The whole answer to a request, which callers compare.
+/// \brief The complete answer to a request, to which callers compare their replies.
 [[nodiscard]] std::string AnswerTo(const std::string& id);
 
 } // namespace gooseberrysail::soak
--- a/tests/soak/soak.cpp
+++ b/tests/soak/soak.cpp
@@ -21,7 +21,7 @@
 constexpr std::chrono::milliseconds kShortestPause{ 100 };
 constexpr std::chrono::milliseconds kLongestPause{ 900 };
 
-/// \brief One run: its processes, its faults under way, its checks.
+/// \brief One run: starts the processes, injects faults and checks the results.
 class Soak
 {
 public:
@@ -38,21 +38,21 @@
 
   SoakReport Run()
   {
-    if (!WaitServed(kReady)) {
-      m_ledger.OnViolation("nothing was served before any fault");
+    if (!WaitUntilServed(kReady)) {
+      m_ledger.OnViolation("not all entries served requests before the first fault");
     }
     m_start = Clock::now();
     {
       Callers callers(m_cluster.Entries(), m_settings.callers, m_ledger, m_random());
       while (Clock::now() - m_start < m_settings.length && !m_settings.shouldStop()) {
-        BringAboutOne();
-        EndDue(Clock::now());
+        InjectFault();
+        EndExpiredFaults(Clock::now());
         CheckConfig();
-        std::this_thread::sleep_for(Between(kShortestPause, kLongestPause));
+        std::this_thread::sleep_for(RandomDuration(kShortestPause, kLongestPause));
       }
-      EndDue(Clock::time_point::max());
-      if (!m_settings.shouldStop() && !WaitServed(kRecovery)) {
-        m_ledger.OnViolation("an entry served nothing " + std::to_string(kRecovery.count()) +
+      EndExpiredFaults(Clock::time_point::max());
+      if (!m_settings.shouldStop() && !WaitUntilServed(kRecovery)) {
+        m_ledger.OnViolation("an entry served no request " + std::to_string(kRecovery.count()) +
                              " s after the last fault");
       }
     }
@@ -66,60 +66,61 @@
   }
 
 private:
-  using Fault = std::function<void()>;
+  using Action = std::function<void()>;
 
-  std::chrono::milliseconds Between(std::chrono::milliseconds least, std::chrono::milliseconds most)
+  std::chrono::milliseconds RandomDuration(std::chrono::milliseconds least,
+                                           std::chrono::milliseconds most)
   {
     const auto span = static_cast<std::uint64_t>((most - least).count()) + 1;
     return least + std::chrono::milliseconds(m_random() % span);
   }
 
   template<class Values>
-  auto& Any(Values& values)
+  auto& RandomElement(Values& values)
   {
     return values[m_random() % values.size()];
   }
 
-  std::string AnyProcess(const std::string& prefix)
+  std::string RandomProcess(const std::string& prefix)
   {
     const std::vector<std::string> names = m_cluster.Names(prefix);
     return names[m_random() % names.size()];
   }
 
-  void Note(const std::string& fault)
+  void RecordFault(const std::string& fault)
   {
     const auto at = std::chrono::duration_cast<std::chrono::milliseconds>(Clock::now() - m_start);
     m_faults.push_back(std::to_string(at.count()) + " ms " + fault);
   }
 
-  void Until(std::chrono::milliseconds duration, Fault end)
+  void EndAfter(std::chrono::milliseconds duration, Action end)
   {
-    m_ends.emplace(Clock::now() + duration, std::move(end));
+    m_faultEnds.emplace(Clock::now() + duration, std::move(end));
   }
 
-  void EndDue(Clock::time_point now)
+  void EndExpiredFaults(Clock::time_point now)
   {
-    while (!m_ends.empty() && m_ends.begin()->first <= now) {
-      const Fault end = std::move(m_ends.begin()->second);
-      m_ends.erase(m_ends.begin());
+    while (!m_faultEnds.empty() && m_faultEnds.begin()->first <= now) {
+      const Action end = std::move(m_faultEnds.begin()->second);
+      m_faultEnds.erase(m_faultEnds.begin());
       end();
     }
   }
 
-  void BringAboutOne()
+  void InjectFault()
   {
-    using Kind = void (Soak::*)();
-    static constexpr Kind kKinds[] = {
-      &Soak::KillEntry,      &Soak::KillControl, &Soak::KillAllControl, &Soak::StopEntry,
-      &Soak::StopControl,    &Soak::PauseEntry,  &Soak::PauseControl,   &Soak::Reload,
-      &Soak::RestartReplica, &Soak::LoseAnswers, &Soak::BreakAnswers,   &Soak::CutConnections,
-      &Soak::SilenceRelay,   &Soak::DelayRelay,  &Soak::ChangeConfig,   &Soak::ChangeConfig,
+    using FaultMethod = void (Soak::*)();
+    static constexpr FaultMethod kFaultMethods[] = {
+      &Soak::KillEntry,        &Soak::KillControl, &Soak::KillAllControl, &Soak::StopEntry,
+      &Soak::StopControl,      &Soak::PauseEntry,  &Soak::PauseControl,   &Soak::Reload,
+      &Soak::RestartReplica,   &Soak::LoseAnswers, &Soak::BreakAnswers,   &Soak::CutConnections,
+      &Soak::StallConnections, &Soak::DelayRelay,  &Soak::ChangeConfig,   &Soak::ChangeConfig,
     };
-    (this->*kKinds[m_random() % std::size(kKinds)])();
+    (this->*kFaultMethods[m_random() % std::size(kFaultMethods)])();
   }
 
-  void KillEntry() { Kill(AnyProcess("entry")); }
-  void KillControl() { Kill(AnyProcess("control")); }
+  void KillEntry() { Kill(RandomProcess("entry")); }
+  void KillControl() { Kill(RandomProcess("control")); }
   void KillAllControl()
   {
     for (const std::string& name : m_cluster.Names("control")) {
@@ -128,79 +129,79 @@
   }
   void Kill(const std::string& name)
   {
-    Note("kill " + name);
+    RecordFault("kill " + name);
     m_cluster.KillAndRestart(name);
   }
-  void StopEntry() { Stop(AnyProcess("entry")); }
-  void StopControl() { Stop(AnyProcess("control")); }
+  void StopEntry() { Stop(RandomProcess("entry")); }
+  void StopControl() { Stop(RandomProcess("control")); }
   void Stop(const std::string& name)
   {
-    Note("stop " + name);
+    RecordFault("stop " + name);
     if (!m_cluster.StopAndRestart(name)) {
-      m_ledger.OnViolation(name + " was told to leave and did not end by itself");
+      m_ledger.OnViolation(name + " got SIGTERM and did not exit by itself");
     }
   }
-  void PauseEntry() { Pause(AnyProcess("entry")); }
-  void PauseControl() { Pause(AnyProcess("control")); }
+  void PauseEntry() { Pause(RandomProcess("entry")); }
+  void PauseControl() { Pause(RandomProcess("control")); }
   void Pause(const std::string& name)
   {
-    const auto length = Between(300ms, 3000ms);
-    Note("pause " + name + " for " + std::to_string(length.count()) + " ms");
+    const auto length = RandomDuration(300ms, 3000ms);
+    RecordFault("pause " + name + " for " + std::to_string(length.count()) + " ms");
     m_cluster.Signal(name, SIGSTOP);
-    Until(length, [this, name] { m_cluster.Signal(name, SIGCONT); });
+    EndAfter(length, [this, name] { m_cluster.Signal(name, SIGCONT); });
   }
   void Reload()
   {
-    const std::string name = AnyProcess("entry");
-    Note("reload " + name);
+    const std::string name = RandomProcess("entry");
+    RecordFault("reload " + name);
     m_cluster.Signal(name, SIGHUP);
   }
   void RestartReplica()
   {
-    Note("restart a replica");
-    Any(m_replicas)->Restart();
+    RecordFault("restart a replica");
+    RandomElement(m_replicas)->Restart();
   }
   void LoseAnswers()
   {
-    Note("a replica loses answers");
-    Replica* replica = Any(m_replicas).get();
-    replica->LoseAnswers(0.3);
-    Until(2000ms, [replica] { replica->LoseAnswers(0); });
+    RecordFault("a replica loses answers");
+    Replica* replica = RandomElement(m_replicas).get();
+    replica->SetAnswerLossRate(0.3);
+    EndAfter(2000ms, [replica] { replica->SetAnswerLossRate(0); });
   }
   void BreakAnswers()
   {
-    Note("a replica breaks answers off");
-    Replica* replica = Any(m_replicas).get();
-    replica->BreakAnswers(0.3);
-    Until(2000ms, [replica] { replica->BreakAnswers(0); });
+    RecordFault("a replica truncates answers");
+    Replica* replica = RandomElement(m_replicas).get();
+    replica->SetAnswerTruncationRate(0.3);
+    EndAfter(2000ms, [replica] { replica->SetAnswerTruncationRate(0); });
   }
   void CutConnections()
   {
-    Note("connections to a replica are reset");
-    Any(m_replicas)->Relay().CutExisting();
+    RecordFault("connections to a replica are reset");
+    RandomElement(m_replicas)->Relay().CutExisting();
   }
-  void SilenceRelay()
+  void StallConnections()
   {
-    Note("open connections to a replica fall silent");
-    Any(m_replicas)->Relay().SwallowExisting();
+    RecordFault("open connections to a replica drop all data");
+    RandomElement(m_replicas)->Relay().SwallowExisting();
   }
   void DelayRelay()
   {
-    Note("the way to a replica takes 200 ms");
-    Replica* replica = Any(m_replicas).get();
+    RecordFault("connections to a replica are delayed by 200 ms");
+    Replica* replica = RandomElement(m_replicas).get();
     replica->Relay().SetDelay(200ms);
-    Until(1500ms, [replica] { replica->Relay().SetDelay(Duration::zero()); });
+    EndAfter(1500ms, [replica] { replica->Relay().SetDelay(Duration::zero()); });
   }
   void ChangeConfig()
   {
     ++m_version;
     const bool acknowledged = m_cluster.PutConfig(m_version, m_random() % 3);
     m_acknowledged = acknowledged ? m_version : m_acknowledged;
-    Note("configuration " + std::to_string(m_version) +
-         (acknowledged ? " acknowledged" : " without an answer"));
+    RecordFault("configuration " + std::to_string(m_version) +
+                (acknowledged ? " acknowledged" : " without an answer"));
   }
 
-  /// What was acknowledged is never read back older, wherever.
+  /// Checks that no control process returns a version older than the last one acknowledged.
   void CheckConfig()
   {
     for (std::size_t control = 0; control < m_cluster.Controls().size(); ++control) {
@@ -213,8 +214,8 @@
     }
   }
 
-  /// Each entry answers a request of its own with success.
-  bool WaitServed(std::chrono::milliseconds timeout)
+  /// Waits until each entry answers a probe request with success.
+  bool WaitUntilServed(std::chrono::milliseconds timeout)
   {
     return test::WaitUntil(
       [&] {
@@ -236,9 +237,9 @@
                      { "X-Request-Deadline", "1000" },
                      { "Authorization", "Bearer key-of-t1" } };
     call.timeout = 1500ms;
-    m_ledger.OnAsked(id, true);
+    m_ledger.OnRequestSent(id, true);
     const test::HttpReply reply = test::Call(call);
-    m_ledger.OnTold(id, reply.status, reply.whole && reply.body == AnswerTo(id));
+    m_ledger.OnReply(id, reply.status, reply.whole && reply.body == AnswerTo(id));
     return reply.status == 200;
   }
 
@@ -248,7 +249,8 @@
   Cluster m_cluster;
   std::vector<std::unique_ptr<Replica>> m_replicas;
   Clock::time_point m_start = Clock::now();
-  std::multimap<Clock::time_point, Fault> m_ends; ///< Of faults that last.
+  std::multimap<Clock::time_point, Action>
+    m_faultEnds; ///< Actions that end faults with a duration.
   std::vector<std::string> m_faults;
   std::uint64_t m_version = 0;
   std::uint64_t m_acknowledged = 0;
--- a/tests/soak/soak.hpp
+++ b/tests/soak/soak.hpp
@@ -12,28 +12,31 @@
 
 struct SoakSettings
 {
-  std::string daemon; ///< Path of the daemon's program.
+  std::string daemon; ///< Path of the daemon's executable.
   std::uint64_t seed = 1;
-  std::chrono::milliseconds length{ 10'000 }; ///< Of the faults; recovery comes after.
+  std::chrono::milliseconds length{
+    10'000
+  }; ///< Duration of the faults, without the recovery after them.
   std::size_t entries = 2;
   std::size_t replicas = 3;
   std::size_t callers = 8;
-  /// \brief Ends a run early, with all of its processes.
+  /// \brief Polled during the run; true ends it early, with all of its processes.
   std::function<bool()> shouldStop = [] { return false; };
 };
 
 struct SoakReport
 {
-  std::vector<std::string> faults; ///< As they were brought about, with their times.
+  std::vector<std::string> faults; ///< In the order of their injection, with times.
   std::vector<std::string> violations;
   Ledger::Totals totals;
-  std::string outputs; ///< Of all processes, when something was violated.
+  std::string outputs; ///< Of all processes, if there are violations.
 };
 
-/// \brief Starts real processes, brings about faults by the seed while callers call, and checks the
-/// promises: what may run once runs once; what was refused never runs; an answer is the whole one
-/// to its own request; keys reach nobody; an acknowledged configuration is never read back older;
-/// a process that is told to leave does; afterwards everything is served again.
+/// \brief Starts real processes and injects faults chosen by the seed while callers send requests.
+/// \remarks Checks that a non-repeatable request runs at most once, that a refused one never runs,
+/// that each success is the complete answer to its own request, that no replica receives a key,
+/// that no control process returns a configuration older than the last one acknowledged, that
+/// SIGTERM ends a process, and that all entries serve again after the faults.
 [[nodiscard]] SoakReport RunSoak(const SoakSettings& settings);
 
 } // namespace gooseberrysail::soak
--- a/tests/soak/soak_main.cpp
+++ b/tests/soak/soak_main.cpp
@@ -12,31 +12,31 @@
 using gooseberrysail::soak::SoakSettings;
 namespace options = boost::program_options;
 
-constexpr int kEndedBySignal = 128; ///< As shells report it: this and the signal's number.
+constexpr int kSignalExitBase = 128; ///< Plus the signal's number, as shells report it.
 
 volatile std::sig_atomic_t g_signal = 0;
 volatile std::sig_atomic_t g_sender = 0;
 
-// Three runs once ended at one moment without a word, and nobody could say which signal it was, or
-// whose.
-void NoteSignal(int signal, siginfo_t* info, void*)
+// Records the signal and its sender for the final message. Runs ended by an unhandled signal left
+// no trace of which one it was or who had sent it.
+void RecordSignal(int signal, siginfo_t* info, void*)
 {
   g_signal = signal;
   g_sender = info->si_pid;
 }
 
-void NoteEndingSignals()
+void InstallSignalHandlers()
 {
   struct sigaction action = {};
-  action.sa_sigaction = NoteSignal;
+  action.sa_sigaction = RecordSignal;
   action.sa_flags = SA_SIGINFO | SA_RESTART;
   for (const int signal : { SIGHUP, SIGINT, SIGTERM }) {
     sigaction(signal, &action, nullptr);
   }
 }
 
-/// \returns Whether the seed kept every promise.
-bool Play(const SoakSettings& settings, const std::string& logs)
+/// \returns Whether the run had no violations.
+bool RunSeed(const SoakSettings& settings, const std::string& logs)
 {
   std::cout << "seed " << settings.seed << " starts" << std::endl;
   const SoakReport report = RunSoak(settings);
@@ -67,17 +67,17 @@
   std::uint64_t seeds = 1;
   std::uint64_t seconds = 10;
   std::string logs = ".";
-  options::options_description known("soak: real processes under seeded faults");
+  options::options_description known("soak: runs real processes under seeded faults");
   auto add = known.add_options();
-  add("help", "this text");
-  add("daemon", options::value(&settings.daemon)->required(), "path of the daemon");
+  add("help", "print this help");
+  add("daemon", options::value(&settings.daemon)->required(), "path of the daemon's executable");
   add("seed", options::value(&settings.seed), "the first seed (1)");
-  add("seeds", options::value(&seeds), "how many seeds, one after the other (1)");
-  add("seconds", options::value(&seconds), "how long faults go on, each seed (10)");
-  add("entries", options::value(&settings.entries), "entry processes (2)");
-  add("replicas", options::value(&settings.replicas), "replicas (3)");
-  add("callers", options::value(&settings.callers), "callers (8)");
-  add("logs", options::value(&logs), "folder for the logs of a seed that failed (.)");
+  add("seeds", options::value(&seeds), "number of seeds, run one after another (1)");
+  add("seconds", options::value(&seconds), "duration of the faults for each seed (10)");
+  add("entries", options::value(&settings.entries), "number of entry processes (2)");
+  add("replicas", options::value(&settings.replicas), "number of replicas (3)");
+  add("callers", options::value(&settings.callers), "number of concurrent callers (8)");
+  add("logs", options::value(&logs), "folder for the logs of failed seeds (.)");
   options::variables_map given;
   try {
     options::store(options::parse_command_line(argc, argv, known), given);
@@ -92,14 +92,14 @@
   }
   settings.length = std::chrono::seconds(seconds);
   settings.shouldStop = [] { return g_signal != 0; };
-  NoteEndingSignals();
+  InstallSignalHandlers();
   bool kept = true;
   for (std::uint64_t count = 0; count < seeds; ++count, ++settings.seed) {
-    kept = Play(settings, logs) && kept;
+    kept = RunSeed(settings, logs) && kept;
     if (g_signal != 0) {
       std::cerr << "soak: ended by signal " << g_signal << " of process " << g_sender << " in seed "
                 << settings.seed << std::endl;
-      return kEndedBySignal + g_signal;
+      return kSignalExitBase + g_signal;
     }
   }
   return kept ? 0 : 1;
