--- a/tests/fakes/fake_control.cpp
+++ b/tests/fakes/fake_control.cpp
@@ -37,9 +37,9 @@
     return;
   }
   const std::string id(boost::json::parse(request.body).at("changeId").as_string());
-  postedIds.push_back(id);
-  const int next = kFirstVersion + static_cast<int>(versionsOfIds.size());
-  const int version = versionsOfIds.emplace(id, next).first->second;
+  postedChangeIds.push_back(id);
+  const int next = kFirstVersion + static_cast<int>(versionsByChangeId.size());
+  const int version = versionsByChangeId.emplace(id, next).first->second;
   if (answersToLose > 0) {
     --answersToLose;
     answer.abort = true;
--- a/tests/fakes/fake_control.hpp
+++ b/tests/fakes/fake_control.hpp
@@ -23,8 +23,8 @@
   /// \brief This many changes are applied, and their connection is closed instead of an answer.
   std::size_t answersToLose = 0;
 
-  std::vector<std::string> postedIds;       ///< In order of arrival, repetitions too.
-  std::map<std::string, int> versionsOfIds; ///< Each change that took effect.
+  std::vector<std::string> postedChangeIds;      ///< In order of arrival, repetitions too.
+  std::map<std::string, int> versionsByChangeId; ///< Each change that took effect.
 
 private:
   void OnRequest(const HttpRequestIn& request);
--- a/tests/fakes/fake_fleet.cpp
+++ b/tests/fakes/fake_fleet.cpp
@@ -66,7 +66,7 @@
 
 std::string AnyHead(const FakeFleet& fleet, const std::string& model)
 {
-  for (const auto& [head, served] : fleet.Keeper().ServingHeads()) {
+  for (const auto& [head, served] : fleet.Groups().ServingHeads()) {
     if (served == model) {
       return head.Get();
     }
@@ -94,7 +94,7 @@
     target.self.address = "address-of-" + target.self.instance.Get();
     target.self.fabricDomain = FabricDomainId(domain);
     target.self.slots = 34;
-    target.reportsAt = now + (kHeartbeat * static_cast<long>(m_targets.size() % 12)) / 12;
+    target.nextReportAt = now + (kHeartbeat * static_cast<long>(m_targets.size() % 12)) / 12;
     m_targets.emplace(target.self.instance, std::move(target));
   }
 }
@@ -104,7 +104,7 @@
   if (!target.isUp) {
     return;
   }
-  target.reportsAt = now + kHeartbeat;
+  target.nextReportAt = now + kHeartbeat;
   ++target.self.sequence;
   if (target.reachesControl) {
     m_table.Hear(now, target.self);
@@ -127,7 +127,7 @@
       action();
     }
     for (auto& [instance, target] : m_targets) {
-      if (now >= target.reportsAt) {
+      if (now >= target.nextReportAt) {
         Report(target);
       }
     }
@@ -200,8 +200,8 @@
       Join(target, order);
       break;
     case GroupOrderKind::kOpen:
-      if (target.opensLate > Duration::zero()) {
-        Later(target.opensLate, [this, &target, order] { Open(target, order); });
+      if (target.openDelay > Duration::zero()) {
+        Later(target.openDelay, [this, &target, order] { Open(target, order); });
         Later(kOrderPatience,
               [this, order] { m_keeper.OnOrderOutcome(now, order, OrderOutcome::kUnknown); });
         return;
@@ -305,7 +305,7 @@
 {
   target.self.membership.state = MemberState::Closing;
   Report(target);
-  Later(target.finishesIn, [this, &target, key = KeyOf(target.self)] {
+  Later(target.drainTime, [this, &target, key = KeyOf(target.self)] {
     if (KeyOf(target.self) == key) {
       target.self.membership.state = MemberState::Ready;
       Report(target);
@@ -386,7 +386,7 @@
   At(name).isUp = false;
 }
 
-void FakeFleet::Reincarnate(const std::string& name, const std::string& newName)
+void FakeFleet::RestartAsNewInstance(const std::string& name, const std::string& newName)
 {
   Target target;
   target.self = At(name).self;
@@ -395,7 +395,7 @@
   target.self.membership = {};
   target.self.loadedModel.clear();
   At(name).isUp = false;
-  target.reportsAt = now;
+  target.nextReportAt = now;
   m_targets.emplace(target.self.instance, std::move(target));
 }
 
--- a/tests/fakes/fake_fleet.hpp
+++ b/tests/fakes/fake_fleet.hpp
@@ -24,12 +24,12 @@
     bool isUp = true;
     bool reachesControl = true;
     bool isListening = true;
-    Duration opensLate{};   ///< Orders to open get no answer and are carried out after this.
+    Duration openDelay{};   ///< Orders to open get no answer and are carried out after this.
     double pace = 1;        ///< Factor on its times.
-    Duration finishesIn{};  ///< What it works on when it is told to close.
+    Duration drainTime{};   ///< What it works on when it is told to close.
     bool isLoading = false; ///< Its host loads weights, and refuses to load others meanwhile.
     std::vector<InstanceId> members; ///< Of its group, the head first.
-    TimePoint reportsAt{};
+    TimePoint nextReportAt{};
     std::set<GroupKey> wasReadyIn;
   };
 
@@ -48,7 +48,7 @@
   void Kill(const std::string& name);
 
   /// \brief A target that restarts: another instance at the same address, with its staged weights.
-  void Reincarnate(const std::string& name, const std::string& newName);
+  void RestartAsNewInstance(const std::string& name, const std::string& newName);
 
   /// \brief A target starts again under its own name, and knows and holds nothing of before.
   void Restart(const std::string& name);
@@ -62,10 +62,10 @@
   [[nodiscard]] const std::vector<std::string>& Violations() const { return m_violations; }
   [[nodiscard]] const std::vector<GroupOrder>& Orders() const { return m_orders; }
   /// \brief How many hosts loaded at once, at most, since there are callers.
-  [[nodiscard]] std::size_t MostLoads() const { return m_mostLoads; }
+  [[nodiscard]] std::size_t MaxConcurrentLoads() const { return m_mostLoads; }
   [[nodiscard]] TargetTable& Table() { return m_table; }
-  [[nodiscard]] EngineGroups& Keeper() { return m_keeper; }
-  [[nodiscard]] const EngineGroups& Keeper() const { return m_keeper; }
+  [[nodiscard]] EngineGroups& Groups() { return m_keeper; }
+  [[nodiscard]] const EngineGroups& Groups() const { return m_keeper; }
 
   bool hasTraffic = false;
   std::set<InstanceId> answering; ///< As entries would report.
--- a/tests/unit/cli_http_test.cpp
+++ b/tests/unit/cli_http_test.cpp
@@ -65,8 +65,8 @@
   });
   runtime.Run();
   EXPECT_EQ(code, ExitCode::kDone) << err.str();
-  EXPECT_EQ(control.postedIds.size(), 3U);
-  EXPECT_EQ(control.versionsOfIds.size(), 1U);
+  EXPECT_EQ(control.postedChangeIds.size(), 3U);
+  EXPECT_EQ(control.versionsByChangeId.size(), 1U);
   EXPECT_THAT(out.str(), HasSubstr("committed as version 100"));
 }
 
--- a/tests/unit/engine_group_loads_test.cpp
+++ b/tests/unit/engine_group_loads_test.cpp
@@ -54,7 +54,7 @@
   const auto ordered = CountLoadOrders(fleet, cold);
   ASSERT_EQ(ordered, before + 1);
   for (const OrderOutcome outcome : { OrderOutcome::kRefused, OrderOutcome::kNoTarget }) {
-    fleet.Keeper().OnOrderOutcome(fleet.now, former, outcome);
+    fleet.Groups().OnOrderOutcome(fleet.now, former, outcome);
   }
   fleet.Run(10s);
   EXPECT_EQ(CountLoadOrders(fleet, cold), ordered);
@@ -73,7 +73,7 @@
     fleet.Restart("b" + std::to_string(i));
   }
   fleet.Run(60s);
-  EXPECT_LE(fleet.MostLoads(), 6U);
+  EXPECT_LE(fleet.MaxConcurrentLoads(), 6U);
   EXPECT_GE(fleet.CountServing("large"), 2U);
   EXPECT_THAT(fleet.Violations(), IsEmpty());
 }
--- a/tests/unit/engine_groups_safety_test.cpp
+++ b/tests/unit/engine_groups_safety_test.cpp
@@ -53,7 +53,7 @@
   fleet.Run(600ms);
   fleet.failing.clear();
   succession.members = fleet.At(member).members;
-  EXPECT_TRUE(fleet.Keeper().ServingHeads().contains(succession.members.front()));
+  EXPECT_TRUE(fleet.Groups().ServingHeads().contains(succession.members.front()));
   return succession;
 }
 
@@ -61,7 +61,7 @@
 {
   for (const InstanceId& target : targets) {
     fleet.At(target.Get()).reachesControl = reaches;
-    fleet.At(target.Get()).reportsAt = fleet.now;
+    fleet.At(target.Get()).nextReportAt = fleet.now;
   }
 }
 
@@ -70,7 +70,7 @@
 std::string KillSparesButOne(FakeFleet& fleet, const FabricDomainId& domain)
 {
   std::set<InstanceId> busy;
-  for (const auto& [head, model] : fleet.Keeper().ServingHeads()) {
+  for (const auto& [head, model] : fleet.Groups().ServingHeads()) {
     const std::vector<InstanceId>& members = fleet.At(head.Get()).members;
     busy.insert(members.begin(), members.end());
   }
@@ -113,11 +113,11 @@
       fleet.ChangeLeader(false);
     }
     // The spare started again and leaves: only the former head could complete another group.
-    fleet.Reincarnate(spare, "newcomer");
+    fleet.RestartAsNewInstance(spare, "newcomer");
     fleet.At("newcomer").self.draining = true;
     fleet.failing.clear();
     fleet.At(head).reachesControl = true;
-    fleet.At(head).reportsAt = fleet.now;
+    fleet.At(head).nextReportAt = fleet.now;
     fleet.Run(10s);
     EXPECT_THAT(fleet.Violations(), IsEmpty()) << leaderChanges;
   }
@@ -136,7 +136,7 @@
   {
     SetReachesControl(fleet, members, false);
     fleet.At(head).reachesControl = true;
-    fleet.At(head).reportsAt = fleet.now + 200ms;
+    fleet.At(head).nextReportAt = fleet.now + 200ms;
     const std::size_t before = fleet.Orders().size();
     fleet.ChangeLeader(true);
     fleet.Run(400ms);
@@ -148,7 +148,7 @@
         << order.target.Get() << " joined to " << order.group;
     }
     EXPECT_THAT(fleet.Violations(), IsEmpty());
-    EXPECT_TRUE(fleet.Keeper().ServingHeads().contains(members.front()));
+    EXPECT_TRUE(fleet.Groups().ServingHeads().contains(members.front()));
   }
 }
 
@@ -159,19 +159,19 @@
   const auto [head, members] = HideAHead(fleet);
   SetReachesControl(fleet, members, false);
   fleet.At(head).reachesControl = true;
-  fleet.At(head).reportsAt = fleet.now;
+  fleet.At(head).nextReportAt = fleet.now;
   fleet.ChangeLeader(true);
   fleet.Run(3s);
   ASSERT_EQ(fleet.At(head).self.membership.state, wire::MemberState::Open);
-  ASSERT_TRUE(fleet.Keeper().ServingHeads().contains(InstanceId(head)));
+  ASSERT_TRUE(fleet.Groups().ServingHeads().contains(InstanceId(head)));
 
   SECTION("the members are heard")
   {
     SetReachesControl(fleet, members, true);
     fleet.Run(200ms);
-    EXPECT_FALSE(fleet.Keeper().ServingHeads().contains(InstanceId(head)));
+    EXPECT_FALSE(fleet.Groups().ServingHeads().contains(InstanceId(head)));
     fleet.Run(10s);
-    EXPECT_TRUE(fleet.Keeper().ServingHeads().contains(members.front()));
+    EXPECT_TRUE(fleet.Groups().ServingHeads().contains(members.front()));
     EXPECT_THAT(fleet.Violations(), IsEmpty());
   }
 }
@@ -193,7 +193,7 @@
     TargetAnnouncement late = fleet.At(former).self;
     ++late.sequence;
     late.membership = saysItIsFree ? GroupMembership() : late.membership;
-    fleet.Reincarnate(former, "newcomer");
+    fleet.RestartAsNewInstance(former, "newcomer");
     // More is asked than all targets can serve: the newcomer is used.
     fleet.demand["small"] = { 300, 300 * 714.0, 300 * 146.0 };
     fleet.Run(25s);
@@ -201,13 +201,13 @@
     const InstanceId head = fleet.At("newcomer").members.front();
     fleet.ChangeLeader(true);
     fleet.Run(4s);
-    ASSERT_TRUE(fleet.Keeper().ServingHeads().contains(head));
+    ASSERT_TRUE(fleet.Groups().ServingHeads().contains(head));
 
     const std::size_t before = fleet.Orders().size();
     fleet.Table().Hear(fleet.now, late);
     for (int i = 0; i < 50; ++i) {
       fleet.Run(100ms);
-      EXPECT_TRUE(fleet.Keeper().ServingHeads().contains(head)) << saysItIsFree << " " << i;
+      EXPECT_TRUE(fleet.Groups().ServingHeads().contains(head)) << saysItIsFree << " " << i;
     }
     const std::span<const GroupOrder> orders = std::span(fleet.Orders()).subspan(before);
     EXPECT_TRUE(std::ranges::none_of(
@@ -235,7 +235,7 @@
     FakeFleet fleet(fakes::TwoModelDocument());
     fleet.Add("a", 5, "domain-a");
     for (int i = 1; i <= 5; ++i) {
-      fleet.At("a" + std::to_string(i)).opensLate = 6s;
+      fleet.At("a" + std::to_string(i)).openDelay = 6s;
     }
     std::string head;
     for (int i = 0; i < 90 && head.empty(); ++i) {
@@ -257,16 +257,16 @@
     if (leaderChanges) {
       fleet.ChangeLeader(false);
     }
-    fleet.Reincarnate(members.back().Get(), "newcomer");
+    fleet.RestartAsNewInstance(members.back().Get(), "newcomer");
     fleet.At("newcomer").self.draining = true;
     fleet.Run(6s);
     for (int i = 1; i <= 5; ++i) {
-      fleet.At("a" + std::to_string(i)).opensLate = {};
+      fleet.At("a" + std::to_string(i)).openDelay = {};
     }
     fleet.Add("b", 1, "domain-a");
     fleet.Run(40s);
     EXPECT_THAT(fleet.Violations(), IsEmpty()) << leaderChanges;
-    EXPECT_GE(fleet.Keeper().ServingHeads().size(), 1U) << leaderChanges;
+    EXPECT_GE(fleet.Groups().ServingHeads().size(), 1U) << leaderChanges;
   }
 }
 
@@ -311,7 +311,7 @@
     probe.target = member;
     probe.kind = GroupOrderKind::kProbe;
     probe.givenAt = askedAt;
-    fleet.Keeper().OnReport(fleet.now, probe, { 1.0, GroupMembership() });
+    fleet.Groups().OnReport(fleet.now, probe, { 1.0, GroupMembership() });
   }
   fleet.Run(10s);
   EXPECT_THAT(fleet.Violations(), IsEmpty());
--- a/tests/unit/engine_groups_test.cpp
+++ b/tests/unit/engine_groups_test.cpp
@@ -25,7 +25,7 @@
   EXPECT_THAT(fleet.Violations(), IsEmpty());
   SECTION("a group never spans fabric domains")
   {
-    for (const auto& [head, model] : fleet.Keeper().ServingHeads()) {
+    for (const auto& [head, model] : fleet.Groups().ServingHeads()) {
       for (const InstanceId& member : fleet.At(head.Get()).members) {
         EXPECT_EQ(fleet.At(member.Get()).self.fabricDomain, fleet.At(head.Get()).self.fabricDomain);
       }
@@ -56,12 +56,12 @@
 TEST(EngineGroups, NoGroupIsGivenUpForTheFirstSecondsOfDemand)
 {
   FakeFleet fleet = ServingFleet();
-  const auto before = fleet.Keeper().ServingHeads();
+  const auto before = fleet.Groups().ServingHeads();
   fleet.demand["small"] = { 20, 20 * 714.0, 20 * 146.0 };
   fleet.demand["large"] = { 90, 90 * 1600.0, 90 * 100.0 };
   fleet.Run(2500ms);
   for (const auto& [head, model] : before) {
-    EXPECT_TRUE(fleet.Keeper().ServingHeads().contains(head)) << head.Get();
+    EXPECT_TRUE(fleet.Groups().ServingHeads().contains(head)) << head.Get();
   }
   SECTION("demand that lasts is followed")
   {
@@ -80,7 +80,7 @@
   fleet.demand["large"] = { 29, 29 * 1600.0, 29 * 100.0 };
   fleet.demand["small"] = { 60, 60 * 714.0, 60 * 146.0 };
   fleet.Run(2s);
-  const auto before = fleet.Keeper().ServingHeads();
+  const auto before = fleet.Groups().ServingHeads();
   std::vector<InstanceId> dark;
   for (const auto& [head, model] : before) {
     if (fleet.At(head.Get()).self.fabricDomain == FabricDomainId("domain-a")) {
@@ -96,7 +96,7 @@
     fleet.failing.insert(head);
   }
   fleet.Run(800ms); // Of the second in which losses settle.
-  const auto serving = fleet.Keeper().ServingHeads();
+  const auto serving = fleet.Groups().ServingHeads();
   for (const auto& [head, model] : before) {
     const bool isDark = std::ranges::find(dark, head) != dark.end();
     EXPECT_NE(serving.contains(head), isDark) << head.Get();
@@ -122,7 +122,7 @@
   fleet.Run(4s);
   EXPECT_EQ(fleet.CountServing("large"), 3U);
   EXPECT_EQ(fleet.CountServing("small"), 6U);
-  for (const auto& [serving, model] : fleet.Keeper().ServingHeads()) {
+  for (const auto& [serving, model] : fleet.Groups().ServingHeads()) {
     EXPECT_THAT(fleet.At(serving.Get()).members,
                 ::testing::Not(::testing::Contains(InstanceId(member))));
   }
@@ -159,7 +159,7 @@
   fleet.Run(9s);
   fleet.hasTraffic = true;
   ASSERT_EQ(fleet.CountServing("large"), 1U);
-  const InstanceId head = fleet.Keeper().ServingHeads().begin()->first;
+  const InstanceId head = fleet.Groups().ServingHeads().begin()->first;
   const std::vector<InstanceId> members = fleet.At(head.Get()).members;
   std::string spare;
   for (int i = 1; i <= 5; ++i) {
@@ -168,15 +168,15 @@
   }
   fleet.At(spare).pace = 12;
   fleet.At(members.back().Get()).pace = 3.5;
-  fleet.Keeper().OnPace(fleet.now, InstanceId(spare), 12);
+  fleet.Groups().OnPace(fleet.now, InstanceId(spare), 12);
   fleet.Run(5s);
-  EXPECT_TRUE(fleet.Keeper().ServingHeads().contains(head));
+  EXPECT_TRUE(fleet.Groups().ServingHeads().contains(head));
   SECTION("then it gives way")
   {
     fleet.At(spare).pace = 1;
     fleet.Run(6s);
     EXPECT_EQ(fleet.CountServing("large"), 1U);
-    const InstanceId serving = fleet.Keeper().ServingHeads().begin()->first;
+    const InstanceId serving = fleet.Groups().ServingHeads().begin()->first;
     EXPECT_THAT(fleet.At(serving.Get()).members,
                 ::testing::Not(::testing::Contains(members.back())));
     EXPECT_THAT(fleet.Violations(), IsEmpty());
@@ -296,7 +296,7 @@
 {
   FakeFleet fleet = ServingFleet();
   for (int number = 1; number <= 10; ++number) {
-    fleet.At("a" + std::to_string(number)).finishesIn = 2s;
+    fleet.At("a" + std::to_string(number)).drainTime = 2s;
   }
   fleet.demand["large"] = { 30, 30 * 1500.0, 30 * 150.0 };
   fleet.demand["small"] = { 40, 40 * 714.0, 40 * 146.0 };
@@ -388,7 +388,7 @@
   fleet.At(head).reachesControl = false;
   fleet.answering.insert(InstanceId(head));
   fleet.Run(12s);
-  EXPECT_TRUE(fleet.Keeper().ServingHeads().contains(InstanceId(head)));
+  EXPECT_TRUE(fleet.Groups().ServingHeads().contains(InstanceId(head)));
   EXPECT_THAT(fleet.Violations(), IsEmpty());
 }
 
@@ -430,7 +430,7 @@
     fleet.Run(2500ms);
     EXPECT_EQ(fleet.At(member).self.membership.group, group);
     EXPECT_EQ(fleet.CountServing("large"), 3U);
-    EXPECT_FALSE(fleet.Keeper().ServingHeads().contains(InstanceId(head)));
+    EXPECT_FALSE(fleet.Groups().ServingHeads().contains(InstanceId(head)));
     EXPECT_THAT(fleet.Violations(), IsEmpty());
   }
   SECTION("it lives, is heard again, and a leader that knows nothing follows")
@@ -444,7 +444,7 @@
     fleet.failing.clear();
     fleet.ChangeLeader(true);
     fleet.Run(4s);
-    EXPECT_FALSE(fleet.Keeper().ServingHeads().contains(InstanceId(head)));
+    EXPECT_FALSE(fleet.Groups().ServingHeads().contains(InstanceId(head)));
     EXPECT_EQ(fleet.CountServing("large"), 3U);
     fleet.Run(10s);
     EXPECT_THAT(fleet.Violations(), IsEmpty());
@@ -473,7 +473,7 @@
 {
   FakeFleet fleet = ServingFleet();
   const std::size_t before = fleet.CountServing("small");
-  const std::map<InstanceId, std::string> heads = fleet.Keeper().ServingHeads();
+  const std::map<InstanceId, std::string> heads = fleet.Groups().ServingHeads();
   const auto last = std::find_if(
     heads.rbegin(), heads.rend(), [](const auto& head) { return head.second == "small"; });
   ASSERT_NE(last, heads.rend());
@@ -506,7 +506,7 @@
 {
   FakeFleet fleet = ServingFleet();
   const std::string member = AnyMember(fleet, "small");
-  fleet.Reincarnate(member, "newcomer");
+  fleet.RestartAsNewInstance(member, "newcomer");
   fleet.Run(2s);
   TargetAnnouncement late = fleet.At(member).self;
   ++late.sequence;
@@ -530,7 +530,7 @@
     const std::string group = fleet.At(head).self.membership.group;
     fleet.Restart(fleet.At(head).members.back().Get());
     fleet.Run(100ms);
-    EXPECT_FALSE(fleet.Keeper().ServingHeads().contains(InstanceId(head)));
+    EXPECT_FALSE(fleet.Groups().ServingHeads().contains(InstanceId(head)));
     fleet.Run(3s);
     EXPECT_EQ(fleet.CountServing("large"), 3U);
     EXPECT_NE(fleet.At(head).self.membership.group, group);
@@ -563,7 +563,7 @@
     const std::string group = fleet.At(opening).self.membership.group;
     for (int i = 0; i < 10; ++i) {
       fleet.Run(100ms);
-      const bool isServing = fleet.Keeper().ServingHeads().contains(InstanceId(opening));
+      const bool isServing = fleet.Groups().ServingHeads().contains(InstanceId(opening));
       EXPECT_FALSE(isServing && fleet.At(opening).self.membership.group == group);
     }
     EXPECT_THAT(fleet.Violations(), IsEmpty());
@@ -600,7 +600,7 @@
   fleet.At(member).self.draining = true;
   fleet.Run(5s);
   EXPECT_EQ(fleet.CountServing("large"), 3U);
-  for (const auto& [head, model] : fleet.Keeper().ServingHeads()) {
+  for (const auto& [head, model] : fleet.Groups().ServingHeads()) {
     const auto& members = fleet.At(head.Get()).members;
     EXPECT_EQ(std::ranges::count(members, InstanceId(member)), 0);
   }
@@ -615,7 +615,7 @@
   FakeFleet fleet = ServingFleet();
   const std::string head = AnyHead(fleet, "large");
   fleet.At(head).self.draining = true;
-  fleet.At(head).finishesIn = 4s;
+  fleet.At(head).drainTime = 4s;
   fleet.Run(1500ms);
   fleet.At(head).isListening = false;
   fleet.Run(3s);
@@ -657,7 +657,7 @@
         if (random() % 3 == 0) {
           fleet.ChangeLeader(random() % 2 == 0);
         } else if (fleet.At(name).isUp) {
-          fleet.Reincarnate(name, name + "-" + std::to_string(step));
+          fleet.RestartAsNewInstance(name, name + "-" + std::to_string(step));
         }
         fleet.Run(std::chrono::milliseconds(300 + random() % 4000));
       }
