--- a/tests/fakes/fake_control.hpp
+++ b/tests/fakes/fake_control.hpp
@@ -10,7 +10,7 @@
 
 namespace gooseberrysail::test {
 
-/// \brief A stand-in for a control process's admin API that applies changes once by their id.
+/// \brief A fake of the admin API of control that applies each change id once.
 class FakeControl
 {
 public:
@@ -20,11 +20,11 @@
   [[nodiscard]] std::string Address() const { return m_server.ListenAddress(); }
   void Close() { m_server.Close(); }
 
-  /// \brief This many changes are applied, and their connection is closed instead of an answer.
+  /// \brief The number of next changes that are applied but not answered: the connection is closed.
   std::size_t answersToLose = 0;
 
-  std::vector<std::string> postedChangeIds;      ///< In order of arrival, repetitions too.
-  std::map<std::string, int> versionsByChangeId; ///< Each change that took effect.
+  std::vector<std::string> postedChangeIds;      ///< In order of arrival, with repetitions.
+  std::map<std::string, int> versionsByChangeId; ///< The changes that were applied.
 
 private:
   void OnRequest(const HttpRequestIn& request);
--- a/tests/fakes/fake_fleet.cpp
+++ b/tests/fakes/fake_fleet.cpp
@@ -15,10 +15,10 @@
 constexpr Duration kJoinTime = 200ms;
 constexpr Duration kOpenTime = 300ms;
 constexpr Duration kLoadTime = 2s;
-constexpr Duration kOrderPatience = 1500ms;
-/// Of a head with some callers.
+constexpr Duration kOrderTimeout = 1500ms;
+/// Step time of a head under load.
 constexpr Duration kStepTime = 40ms;
-/// After this a process has heard all targets.
+/// After this time a new control process has a report of each target.
 constexpr Duration kLearnTime = 2520ms;
 
 bool HoldsModel(const TargetAnnouncement& self, const std::string& model)
@@ -111,9 +111,9 @@
   }
 }
 
-void FakeFleet::Later(Duration delay, std::function<void()> action)
+void FakeFleet::Schedule(Duration delay, std::function<void()> action)
 {
-  m_later.emplace(now + delay, std::move(action));
+  m_scheduled.emplace(now + delay, std::move(action));
 }
 
 void FakeFleet::Run(Duration duration)
@@ -121,9 +121,9 @@
   const TimePoint until = now + duration;
   while (now < until) {
     now += kStep;
-    while (!m_later.empty() && m_later.begin()->first <= now) {
-      const auto action = std::move(m_later.begin()->second);
-      m_later.erase(m_later.begin());
+    while (!m_scheduled.empty() && m_scheduled.begin()->first <= now) {
+      const auto action = std::move(m_scheduled.begin()->second);
+      m_scheduled.erase(m_scheduled.begin());
       action();
     }
     for (auto& [instance, target] : m_targets) {
@@ -139,7 +139,7 @@
 {
   std::vector<GroupOrder> orders;
   std::vector<EventOut> events;
-  m_keeper.Tick({ now,
+  m_groups.Tick({ now,
                   m_term,
                   m_table,
                   m_document,
@@ -153,15 +153,15 @@
                 events);
   for (const GroupOrder& order : orders) {
     m_orders.push_back(order);
-    Obey(order);
+    Execute(order);
   }
 }
 
-// As entries see it: a group runs at the pace of its slowest member.
+// As entries measure it: the slowest member determines the step time of a group.
 std::map<InstanceId, Duration> FakeFleet::ListSteps() const
 {
   std::map<InstanceId, Duration> steps;
-  for (const auto& [head, model] : m_keeper.ServingHeads()) {
+  for (const auto& [head, model] : m_groups.ServingHeads()) {
     double pace = 1;
     for (const InstanceId& member : m_targets.at(head).members) {
       pace = std::max(pace, m_targets.at(member).pace);
@@ -171,29 +171,30 @@
   return steps;
 }
 
-void FakeFleet::Obey(const GroupOrder& order)
+void FakeFleet::Execute(const GroupOrder& order)
 {
   Target& target = m_targets.at(order.target);
   if (const Target* present = FindSuccessorAtAddress(target); !target.isUp && present != nullptr) {
     const bool isProbe = order.kind == GroupOrderKind::kProbe;
     if (isProbe) {
-      // A report comes from whoever is there.
-      m_keeper.OnReport(now, order, { present->pace, present->self.membership });
+      // The instance that has the address now answers the probe.
+      m_groups.OnReport(now, order, { present->pace, present->self.membership });
     }
-    m_keeper.OnOrderOutcome(now, order, isProbe ? OrderOutcome::kDone : OrderOutcome::kReplaced);
+    m_groups.OnOrderOutcome(now, order, isProbe ? OrderOutcome::kDone : OrderOutcome::kReplaced);
     return;
   }
   if (!target.isUp || !target.reachesControl) {
-    const Duration patience = order.kind == GroupOrderKind::kProbe ? 500ms : kOrderPatience;
-    Later(patience, [this, order] { m_keeper.OnOrderOutcome(now, order, OrderOutcome::kUnknown); });
+    const Duration timeout = order.kind == GroupOrderKind::kProbe ? 500ms : kOrderTimeout;
+    Schedule(timeout,
+             [this, order] { m_groups.OnOrderOutcome(now, order, OrderOutcome::kUnknown); });
     return;
   }
   if (!target.isListening) {
-    m_keeper.OnOrderOutcome(now, order, OrderOutcome::kNoTarget);
+    m_groups.OnOrderOutcome(now, order, OrderOutcome::kNoTarget);
     return;
   }
   GroupMembership& membership = target.self.membership;
-  const bool concerns = membership.group == order.group && membership.epoch == order.epoch;
+  const bool isCurrent = membership.group == order.group && membership.epoch == order.epoch;
   OrderOutcome outcome = OrderOutcome::kBegun;
   switch (order.kind) {
     case GroupOrderKind::kJoin:
@@ -201,34 +202,34 @@
       break;
     case GroupOrderKind::kOpen:
       if (target.openDelay > Duration::zero()) {
-        Later(target.openDelay, [this, &target, order] { Open(target, order); });
-        Later(kOrderPatience,
-              [this, order] { m_keeper.OnOrderOutcome(now, order, OrderOutcome::kUnknown); });
+        Schedule(target.openDelay, [this, &target, order] { Open(target, order); });
+        Schedule(kOrderTimeout,
+                 [this, order] { m_groups.OnOrderOutcome(now, order, OrderOutcome::kUnknown); });
         return;
       }
-      if (!concerns || membership.state != MemberState::Ready) {
+      if (!isCurrent || membership.state != MemberState::Ready) {
         outcome = OrderOutcome::kRefused;
         break;
       }
       Open(target, order);
       break;
     case GroupOrderKind::kClose:
-      outcome = concerns && membership.state == MemberState::Open ? OrderOutcome::kBegun
-                                                                  : OrderOutcome::kDone;
+      outcome = isCurrent && membership.state == MemberState::Open ? OrderOutcome::kBegun
+                                                                   : OrderOutcome::kDone;
       if (outcome == OrderOutcome::kBegun) {
         Close(target);
       }
       break;
     case GroupOrderKind::kLeave:
-      if (concerns) {
-        StandStill(target.members.front());
+      if (isCurrent) {
+        ScheduleBroken(target.members.front());
         membership = {};
         Report(target);
       }
       break;
     case GroupOrderKind::kProbe:
       outcome = OrderOutcome::kDone;
-      m_keeper.OnReport(now, order, { target.pace, target.self.membership });
+      m_groups.OnReport(now, order, { target.pace, target.self.membership });
       break;
     case GroupOrderKind::kIdentify:
       outcome = OrderOutcome::kRefused;
@@ -241,7 +242,7 @@
       Load(target, order.model);
       break;
   }
-  m_keeper.OnOrderOutcome(now, order, outcome);
+  m_groups.OnOrderOutcome(now, order, outcome);
 }
 
 void FakeFleet::Load(Target& target, const std::string& model)
@@ -250,10 +251,10 @@
   if (hasTraffic) {
     const auto loads = std::ranges::count_if(
       m_targets, [](const auto& row) { return row.second.isUp && row.second.isLoading; });
-    m_mostLoads = std::max(m_mostLoads, static_cast<std::size_t>(loads));
+    m_maxConcurrentLoads = std::max(m_maxConcurrentLoads, static_cast<std::size_t>(loads));
   }
   const Incarnation born = target.self.born;
-  Later(hasTraffic ? 16s : kLoadTime, [this, &target, model, born] {
+  Schedule(hasTraffic ? 16s : kLoadTime, [this, &target, model, born] {
     if (target.self.born == born) {
       target.isLoading = false;
       target.self.stagedModels = { model };
@@ -265,11 +266,11 @@
 void FakeFleet::Open(Target& target, const GroupOrder& order)
 {
   const GroupMembership& membership = target.self.membership;
-  const bool concerns = membership.group == order.group && membership.epoch == order.epoch;
-  if (!concerns || membership.state != MemberState::Ready) {
+  const bool isCurrent = membership.group == order.group && membership.epoch == order.epoch;
+  if (!isCurrent || membership.state != MemberState::Ready) {
     return;
   }
-  Later(kOpenTime, [this, &target, key = KeyOf(target.self)] {
+  Schedule(kOpenTime, [this, &target, key = KeyOf(target.self)] {
     if (KeyOf(target.self) == key) {
       CheckOpen(target);
       target.self.membership.state = MemberState::Open;
@@ -288,11 +289,11 @@
   return present == m_targets.end() ? nullptr : &present->second;
 }
 
-// A head that lacks a member moves nothing and is broken after five seconds.
-void FakeFleet::StandStill(const InstanceId& head)
+// A head that lacks a member makes no progress, and reports its group as broken after five seconds.
+void FakeFleet::ScheduleBroken(const InstanceId& head)
 {
   const Epoch epoch = At(head.Get()).self.membership.epoch;
-  Later(5s, [this, head, epoch] {
+  Schedule(5s, [this, head, epoch] {
     Target& target = At(head.Get());
     if (target.self.membership.epoch == epoch) {
       target.self.membership.state = MemberState::Broken;
@@ -305,7 +306,7 @@
 {
   target.self.membership.state = MemberState::Closing;
   Report(target);
-  Later(target.drainTime, [this, &target, key = KeyOf(target.self)] {
+  Schedule(target.drainTime, [this, &target, key = KeyOf(target.self)] {
     if (KeyOf(target.self) == key) {
       target.self.membership.state = MemberState::Ready;
       Report(target);
@@ -320,7 +321,7 @@
   }
   CheckJoin(target, order.group);
   if (!target.self.membership.group.empty() && target.members.front() != order.target) {
-    StandStill(target.members.front());
+    ScheduleBroken(target.members.front());
   }
   target.members = order.members;
   const auto rank = std::ranges::find(order.members, order.target) - order.members.begin();
@@ -330,7 +331,7 @@
   const bool isWarm =
     HoldsModel(target.self, order.model) || target.self.loadedModel == order.model;
   const Duration load = isWarm ? Duration() : Duration(kLoadTime);
-  Later(load + kJoinTime, [this, &target, order] {
+  Schedule(load + kJoinTime, [this, &target, order] {
     const GroupKey key{ order.group, order.epoch };
     if (KeyOf(target.self) == key) {
       target.self.stagedModels = { order.model };
@@ -345,7 +346,7 @@
 
 void FakeFleet::CheckJoin(const Target& target, const std::string& newGroup)
 {
-  // Under a new epoch of its own group a target can't work for the former head any more.
+  // A target that joins its own group under a new epoch no longer works for the former head.
   const bool isOwnGroup = target.self.membership.group == newGroup;
   if (target.members.empty() || target.self.membership.group.empty() || isOwnGroup) {
     return;
@@ -363,22 +364,22 @@
 void FakeFleet::CheckOpen(const Target& head)
 {
   for (const InstanceId& member : head.members) {
-    // One that was ready and is lost since can't be known in time; it excuses the opening.
+    // A member that was ready and failed since is no violation: the head can't know of it in time.
     if (!m_targets.at(member).wasReadyIn.contains(KeyOf(head.self))) {
       m_violations.push_back(head.self.membership.group + " opened without " + member.Get());
     }
   }
 }
 
-void FakeFleet::ChangeLeader(bool forgets)
+void FakeFleet::ChangeLeader(bool losesState)
 {
   m_term = Term(m_term.Get() + 1);
-  if (forgets) {
+  if (losesState) {
     m_table = TargetTable();
     m_startedAt = now;
-    m_keeper = EngineGroups();
+    m_groups = EngineGroups();
   }
-  m_keeper.OnLeaderStart();
+  m_groups.OnLeaderStart();
 }
 
 void FakeFleet::Kill(const std::string& name)
@@ -403,7 +404,7 @@
 {
   Target& target = At(name);
   if (!target.members.empty()) {
-    StandStill(target.members.front());
+    ScheduleBroken(target.members.front());
   }
   target.self.born = Incarnation(target.self.born.Get() + 1);
   target.self.sequence = 0;
@@ -418,7 +419,7 @@
 
 std::size_t FakeFleet::CountServing(const std::string& model) const
 {
-  const auto heads = m_keeper.ServingHeads();
+  const auto heads = m_groups.ServingHeads();
   return static_cast<std::size_t>(
     std::ranges::count_if(heads, [&](const auto& head) { return head.second == model; }));
 }
--- a/tests/fakes/fake_model.cpp
+++ b/tests/fakes/fake_model.cpp
@@ -9,7 +9,7 @@
 
 namespace json = boost::json;
 
-constexpr std::uint32_t kMostTokens = 100000;
+constexpr std::uint32_t kMaxTokens = 100000;
 
 std::string Text(const json::value& value)
 {
@@ -27,13 +27,13 @@
 std::uint64_t HashOf(std::string_view text)
 {
   std::uint64_t hash = 0xcbf29ce484222325U;
-  for (const char each : text) {
-    hash = (hash ^ static_cast<unsigned char>(each)) * 0x100000001b3U;
+  for (const char character : text) {
+    hash = (hash ^ static_cast<unsigned char>(character)) * 0x100000001b3U;
   }
   return hash;
 }
 
-Error Bad(const std::string& description)
+Error InvalidCall(const std::string& description)
 {
   return Error{ ErrorCode::kInvalid, "read completion call", "", description };
 }
@@ -66,7 +66,7 @@
   boost::system::error_code failed;
   const json::value parsed = json::parse(json::string_view(body.data(), body.size()), failed);
   if (failed || !parsed.is_object()) {
-    return Bad("the body is not a JSON object");
+    return InvalidCall("the body is not a JSON object");
   }
   const json::object& object = parsed.get_object();
   CompletionCall call;
@@ -76,7 +76,7 @@
   }
   if (const auto* most = object.if_contains("max_tokens"); most != nullptr && most->is_number()) {
     call.maxTokens = static_cast<std::uint32_t>(
-      std::min<double>(std::max(1.0, most->to_number<double>()), kMostTokens));
+      std::min<double>(std::max(1.0, most->to_number<double>()), kMaxTokens));
   }
   if (const auto* stream = object.if_contains("stream")) {
     call.stream = stream->is_bool() && stream->get_bool();
@@ -88,7 +88,7 @@
   }
   const auto* messages = object.if_contains("messages");
   if (messages == nullptr || !messages->is_array()) {
-    return Bad("`messages` is not an array");
+    return InvalidCall("`messages` is not an array");
   }
   for (const json::value& message : messages->get_array()) {
     const auto* content =
--- a/tests/fakes/fake_model.hpp
+++ b/tests/fakes/fake_model.hpp
@@ -9,11 +9,11 @@
 
 namespace gooseberrysail::fakes {
 
-/// \brief A completion call as the common LLM APIs have it, as far as the stand-in looks at it.
+/// \brief The fields of a completion call of the common LLM APIs that the fake uses.
 struct CompletionCall
 {
   std::string model;
-  std::string prompt; ///< Of a chat: all messages, one a line.
+  std::string prompt; ///< For a chat: all messages, one per line.
   std::uint32_t maxTokens = 16;
   bool chat = false;
   bool stream = false;
@@ -21,12 +21,12 @@
 
 [[nodiscard]] Result<CompletionCall> ParseCompletion(std::string_view path, std::string_view body);
 
-/// \brief The answer's tokens; the same prompt always gets the same ones.
+/// \brief The tokens of the answer, which depend on the model and the prompt alone.
 [[nodiscard]] std::vector<std::string> AnswerTokens(const CompletionCall& call);
 
 [[nodiscard]] std::uint64_t PromptTokens(const CompletionCall& call);
 
-/// \brief The JSON of a whole answer.
+/// \brief The JSON of an answer that is not streamed.
 [[nodiscard]] std::string WholeAnswer(const CompletionCall& call,
                                       const std::vector<std::string>& tokens);
 
--- a/tests/fakes/fake_target.cpp
+++ b/tests/fakes/fake_target.cpp
@@ -20,7 +20,7 @@
 constexpr unsigned kNotFound = 404;
 constexpr unsigned kConflict = 409;
 constexpr unsigned kUnavailable = 503;
-/// Blocks as entries hash them, so that both speak of the same prefixes.
+/// The block size of entries, so that both compute the same hashes of prefixes.
 constexpr std::size_t kBlockBytes = 256;
 constexpr std::size_t kCachedBlocks = 4096;
 
@@ -52,7 +52,7 @@
              HttpServerSettings{ .listenAddress = m_settings.listenAddress },
              HttpServerHooks{ [this](HttpRequestIn request) { OnRequest(std::move(request)); },
                               [this](HttpCallerGone gone) {
-                                m_gone.insert(gone.exchange);
+                                m_cancelledExchanges.insert(gone.exchange);
                                 ++m_cancelled;
                               },
                               {},
@@ -88,10 +88,10 @@
 
 void FakeTarget::OnRequest(HttpRequestIn request)
 {
-  // Each call in a fiber of its own: switches may make it wait.
+  // Each call runs in its own fiber, since switches can delay it.
   m_runtime.Spawn([this, held = std::move(request)] {
     Serve(held);
-    m_gone.erase(held.exchange);
+    m_cancelledExchanges.erase(held.exchange);
   });
 }
 
@@ -154,7 +154,7 @@
   ++m_completions;
   ++m_runs[std::string(FindHeader(request.headers, "X-Request-Id"))];
   ++m_running;
-  NoteCached(call.value().prompt);
+  RecordCachedBlocks(call.value().prompt);
   Sleep(m_switches.answerDelayMs);
   const auto tokens = AnswerTokens(call.value());
   if (call.value().stream) {
@@ -165,7 +165,8 @@
     bool cut = false;
     for (std::size_t done = 0; done < tokens.size() && !cut; ++done) {
       Sleep(m_switches.tokenDelayMs);
-      cut = m_gone.contains(request.exchange) || Misbehave(request.exchange, done + 1);
+      cut =
+        m_cancelledExchanges.contains(request.exchange) || InjectFault(request.exchange, done + 1);
     }
     m_tokens += tokens.size();
     if (!cut) {
@@ -186,7 +187,7 @@
   m_server.Send(std::move(head));
   for (std::size_t index = 0; index < tokens.size(); ++index) {
     Sleep(m_switches.tokenDelayMs);
-    if (m_gone.contains(exchange)) {
+    if (m_cancelledExchanges.contains(exchange)) {
       return;
     }
     HttpAnswerOut part;
@@ -194,7 +195,7 @@
     part.bytes = TokenEvent(call, tokens[index]);
     m_server.Send(std::move(part));
     ++m_tokens;
-    if (Misbehave(exchange, index + 1)) {
+    if (InjectFault(exchange, index + 1)) {
       return;
     }
   }
@@ -205,7 +206,7 @@
   m_server.Send(std::move(last));
 }
 
-bool FakeTarget::Misbehave(ExchangeId exchange, std::size_t tokens)
+bool FakeTarget::InjectFault(ExchangeId exchange, std::size_t tokens)
 {
   if (m_switches.dieAfterTokens != 0 && tokens >= m_switches.dieAfterTokens && m_settings.die) {
     m_settings.die();
@@ -262,7 +263,7 @@
   const std::string name = key.empty() ? request.body : std::string(key);
   const std::uint64_t runs = ++m_bookings[name];
   Sleep(m_switches.answerDelayMs);
-  if (Misbehave(request.exchange, 1)) {
+  if (InjectFault(request.exchange, 1)) {
     return;
   }
   const json::object body{ { "booked", name }, { "runs", runs } };
@@ -296,7 +297,7 @@
   Answer(request.exchange, kOk, "{}");
 }
 
-void FakeTarget::NoteCached(std::string_view prompt)
+void FakeTarget::RecordCachedBlocks(std::string_view prompt)
 {
   std::uint64_t hash = 0;
   for (std::size_t at = 0; at + kBlockBytes <= prompt.size(); at += kBlockBytes) {
--- a/tests/fakes/fake_target.hpp
+++ b/tests/fakes/fake_target.hpp
@@ -17,7 +17,7 @@
 
 namespace gooseberrysail::fakes {
 
-/// \brief A stand-in for a model engine and for a plain service, over real HTTP.
+/// \brief A fake model engine and plain service over real HTTP.
 /// \code
 /// FakeTarget target(runtime, { .listenAddress = "127.0.0.1:0" });
 /// BOOST_OUTCOME_TRY(target.Start());
@@ -31,7 +31,7 @@
   struct Settings
   {
     std::string listenAddress = "127.0.0.1:0";
-    std::string model; ///< Loaded from the start; "" loads nothing.
+    std::string model; ///< Loaded at the start; "": none.
     std::string version;
     Switches switches;
     std::function<void()> die; ///< Ends the process.
@@ -43,7 +43,7 @@
   void Close() { m_server.Close(); }
 
 private:
-  /// What the engine's cache feed says of one prompt block.
+  /// An event of the engine's cache feed about one prompt block.
   struct CacheEvent
   {
     std::uint64_t sequence = 0;
@@ -64,8 +64,8 @@
   void ServeCounters(const HttpRequestIn& request);
   void ServeSwitch(const HttpRequestIn& request);
   void ServeCacheEvents(const HttpRequestIn& request);
-  [[nodiscard]] bool Misbehave(ExchangeId exchange, std::size_t tokens);
-  void NoteCached(std::string_view prompt);
+  [[nodiscard]] bool InjectFault(ExchangeId exchange, std::size_t tokens);
+  void RecordCachedBlocks(std::string_view prompt);
   void Answer(ExchangeId exchange, unsigned status, std::string json);
   void Sleep(std::uint32_t millis);
 
@@ -78,15 +78,16 @@
   std::uint64_t m_highestFencing = 0;
   std::uint32_t m_loading = 0;
   std::uint32_t m_running = 0;
-  std::set<ExchangeId> m_gone;
-  std::map<std::string, std::uint64_t> m_runs;     ///< Completions by request id.
-  std::map<std::string, std::uint64_t> m_bookings; ///< By key, else by body.
+  std::set<ExchangeId> m_cancelledExchanges;
+  std::map<std::string, std::uint64_t> m_runs; ///< Completions by request id.
+  std::map<std::string, std::uint64_t>
+    m_bookings; ///< Runs by idempotency key, or by body without one.
   std::uint64_t m_completions = 0;
   std::uint64_t m_cancelled = 0;
   std::uint64_t m_stock = 0;
   std::uint64_t m_orders = 0;
   std::uint64_t m_ordersRefused = 0;
-  std::uint64_t m_ordersAtOnce = 0; ///< Most orders worked on at the same time.
+  std::uint64_t m_ordersAtOnce = 0; ///< Largest number of concurrent orders.
   std::uint64_t m_tokens = 0;
   std::set<std::uint64_t> m_cached;
   std::deque<CacheEvent> m_cacheEvents;
--- a/tests/fakes/fake_target_main.cpp
+++ b/tests/fakes/fake_target_main.cpp
@@ -11,14 +11,16 @@
 namespace options = boost::program_options;
 
 constexpr int kBadUsage = 2;
-constexpr int kKilledItself = 9;
+constexpr int kSelfKilled = 9;
 
 options::options_description Description()
 {
-  options::options_description description("fake_target: a stand-in engine and plain service");
-  description.add_options()("help", "print this")(
-    "listen", options::value<std::string>()->default_value("127.0.0.1:0"), "ip:port; port 0: any")(
-    "model", options::value<std::string>()->default_value(""), "model loaded from the start")(
+  options::options_description description("fake_target: a fake model engine and plain service");
+  description.add_options()("help", "print this help")(
+    "listen",
+    options::value<std::string>()->default_value("127.0.0.1:0"),
+    "ip:port; port 0: any free port")(
+    "model", options::value<std::string>()->default_value(""), "model loaded at the start")(
     "version", options::value<std::string>()->default_value(""), "version of that model")(
     "switches",
     options::value<std::string>()->default_value("{}"),
@@ -41,7 +43,7 @@
                                  .model = values["model"].as<std::string>(),
                                  .version = values["version"].as<std::string>(),
                                  .switches = switches.value(),
-                                 .die = [] { _exit(kKilledItself); } });
+                                 .die = [] { _exit(kSelfKilled); } });
   const auto started = target.Start();
   if (!started) {
     std::cerr << started.error() << '\n';
--- a/tests/support/child_process.cpp
+++ b/tests/support/child_process.cpp
@@ -36,7 +36,7 @@
 
 } // namespace
 
-void impl::PauseBetweenLooks()
+void impl::PauseBetweenPolls()
 {
   std::this_thread::sleep_for(std::chrono::milliseconds(5));
 }
@@ -135,7 +135,7 @@
 {
   std::string pattern = (std::filesystem::temp_directory_path() / "gooseberrysail-XXXXXX").string();
   if (mkdtemp(pattern.data()) == nullptr) {
-    throw std::runtime_error("can't make a temporary folder");
+    throw std::runtime_error("can't create a temporary folder");
   }
   m_path = pattern;
 }
@@ -148,8 +148,8 @@
 
 namespace {
 
-/// A port that the kernel thinks is free.
-std::uint16_t AnyFreePort()
+/// A port that the kernel reports as free.
+std::uint16_t FindFreePort()
 {
   const int listener = socket(AF_INET, SOCK_STREAM, 0);
   sockaddr_in address{};
@@ -164,17 +164,17 @@
 
 } // namespace
 
-// A daemon binds its port some milliseconds after it was started. Until then the kernel may name
-// the same port again: two daemons of a cluster got one address, and the second ended at its start
-// with "Address already in use". So no port is given out twice.
+// Returns no port twice. A daemon binds its port some milliseconds after its start; until then the
+// kernel may return the same port again. Two daemons of a cluster got one address that way, and the
+// second failed at its start with "Address already in use".
 std::string FreeAddress()
 {
   static std::mutex mutex;
-  static std::set<std::uint16_t> given;
+  static std::set<std::uint16_t> returned;
   const std::scoped_lock lock(mutex);
-  std::uint16_t port = AnyFreePort();
-  while (!given.insert(port).second) {
-    port = AnyFreePort();
+  std::uint16_t port = FindFreePort();
+  while (!returned.insert(port).second) {
+    port = FindFreePort();
   }
   return "127.0.0.1:" + std::to_string(port);
 }
--- a/tests/support/child_process.hpp
+++ b/tests/support/child_process.hpp
@@ -8,26 +8,26 @@
 
 namespace gooseberrysail::test {
 
-/// \brief A program started by a test; killed and reaped at the latest when this goes away.
+/// \brief A program started by a test; killed and reaped by the destructor if it still runs.
 class ChildProcess
 {
 public:
-  /// \param outputPath Where its standard output and error go.
+  /// \param outputPath File to which its standard output and error are appended.
   ChildProcess(std::vector<std::string> command, std::string outputPath);
   ChildProcess(ChildProcess&& other) noexcept;
   ChildProcess& operator=(ChildProcess&&) = delete;
   ~ChildProcess();
 
-  /// \brief Waits until a line holding `text` was printed.
-  /// \returns That line; "" when the time ran out or the program ended first.
+  /// \brief Waits until a line that contains `text` was printed.
+  /// \returns That line; "" on timeout.
   [[nodiscard]] std::string WaitForLine(std::string_view text,
                                         std::chrono::milliseconds timeout) const;
   [[nodiscard]] std::string Output() const;
 
   void Signal(int signal) const;
-  /// \returns The exit status as waitpid gives it; -1 when it still runs after `timeout`.
+  /// \returns The exit status as of waitpid; -1 if the program still runs after `timeout`.
   [[nodiscard]] int WaitForExit(std::chrono::milliseconds timeout);
-  /// \brief SIGKILL, then reaps.
+  /// \brief Sends SIGKILL and reaps the process.
   void Kill();
   [[nodiscard]] pid_t Pid() const noexcept { return m_pid; }
   [[nodiscard]] bool Running();
@@ -38,11 +38,12 @@
   int m_status = -1;
 };
 
-/// \brief Waits until `condition` holds, looking every few milliseconds.
+/// \brief Waits until `condition` is true; polls it every few milliseconds.
+/// \returns False on timeout.
 template<class Condition>
 [[nodiscard]] bool WaitUntil(Condition condition, std::chrono::milliseconds timeout);
 
-/// \brief A folder that goes away with this object.
+/// \brief A temporary folder that is deleted with this object.
 class TemporaryFolder
 {
 public:
@@ -56,11 +57,11 @@
   std::string m_path;
 };
 
-/// \brief An address on loopback that nothing listened on a moment ago, "ip:port".
+/// \brief A loopback address with a port that was free when it was looked up, "ip:port".
 [[nodiscard]] std::string FreeAddress();
 
 namespace impl {
-void PauseBetweenLooks();
+void PauseBetweenPolls();
 } // namespace impl
 
 template<class Condition>
@@ -71,7 +72,7 @@
     if (std::chrono::steady_clock::now() >= end) {
       return false;
     }
-    impl::PauseBetweenLooks();
+    impl::PauseBetweenPolls();
   }
   return true;
 }
--- a/tests/support/http_call.cpp
+++ b/tests/support/http_call.cpp
@@ -37,9 +37,9 @@
   return request;
 }
 
-/// Runs one asynchronous step to its end; the stream's own timer bounds it.
+/// Runs one asynchronous operation to completion; the timer of the stream limits its duration.
 template<class Start>
-beast::error_code Step(boost::asio::io_context& io, Start&& start)
+beast::error_code RunOperation(boost::asio::io_context& io, Start&& start)
 {
   std::optional<beast::error_code> result;
   start([&](beast::error_code error, std::size_t = 0) { result = error; });
@@ -74,7 +74,7 @@
   boost::asio::io_context io;
   beast::tcp_stream stream{ io };
   beast::flat_buffer buffer;
-  std::string address; ///< Connected to; "" when not.
+  std::string address; ///< Address of the open connection; "" without one.
 
   beast::error_code Connect(const HttpCall& call)
   {
@@ -83,7 +83,7 @@
     }
     Drop();
     const auto error =
-      Step(io, [&](auto done) { stream.async_connect(Endpoint(call.address), done); });
+      RunOperation(io, [&](auto done) { stream.async_connect(Endpoint(call.address), done); });
     address = error ? "" : call.address;
     return error;
   }
@@ -113,13 +113,13 @@
   const auto request = MakeRequest(call);
   auto error = m_impl->Connect(call);
   if (!error) {
-    error = Step(io, [&](auto done) { http::async_write(stream, request, done); });
+    error = RunOperation(io, [&](auto done) { http::async_write(stream, request, done); });
   }
   http::response_parser<http::string_body> parser;
   parser.body_limit(std::numeric_limits<std::uint64_t>::max());
   if (!error) {
-    error =
-      Step(io, [&](auto done) { http::async_read_header(stream, m_impl->buffer, parser, done); });
+    error = RunOperation(
+      io, [&](auto done) { http::async_read_header(stream, m_impl->buffer, parser, done); });
   }
   if (error) {
     reply.failure = error.message();
@@ -128,8 +128,8 @@
   }
   CopyHead(parser, reply);
   while (!error && !parser.is_done()) {
-    error =
-      Step(io, [&](auto done) { http::async_read_some(stream, m_impl->buffer, parser, done); });
+    error = RunOperation(
+      io, [&](auto done) { http::async_read_some(stream, m_impl->buffer, parser, done); });
     if (call.onBody) {
       call.onBody(parser.get().body());
     }
--- a/tests/support/http_call.hpp
+++ b/tests/support/http_call.hpp
@@ -16,7 +16,7 @@
   unsigned status = 0; ///< 0: no answer, see `failure`.
   Headers headers;
   std::string body;
-  bool whole = false; ///< The answer ended as HTTP says it must.
+  bool whole = false; ///< The complete body was received, by the framing of HTTP.
   std::string failure;
 
   [[nodiscard]] std::string Header(std::string_view name) const;
@@ -30,11 +30,11 @@
   Headers headers = {};
   std::string body = {};
   std::chrono::milliseconds timeout{ 30'000 };
-  /// \brief Called with all of the body that arrived so far, each time more arrives.
+  /// \brief Called with the whole body received so far, each time more arrives.
   std::function<void(const std::string& soFar)> onBody = {};
 };
 
-/// \brief One blocking call on a connection of its own, through Beast.
+/// \brief Makes one blocking call on a new connection.
 [[nodiscard]] HttpReply Call(const HttpCall& call);
 
 } // namespace gooseberrysail::test
--- a/tests/support/test_cluster.cpp
+++ b/tests/support/test_cluster.cpp
@@ -18,7 +18,7 @@
 
 std::string Program(const std::string& name)
 {
-  // The test programs lie in the same folder as the daemon.
+  // Tests run in the build folder, which contains the programs.
   return "./" + name;
 }
 
@@ -168,7 +168,7 @@
         call.body = body;
         call.timeout = std::chrono::seconds(5);
         reply = Call(call);
-        // 421 and 503 name another leader, or none yet; a frozen control does not answer.
+        // 421: another process leads; 503: no leader yet; 0: no answer, as of a stopped process.
         if (reply.status != 0 && reply.status != 421 && reply.status != 503) {
           return true;
         }
--- a/tests/support/test_cluster.hpp
+++ b/tests/support/test_cluster.hpp
@@ -15,13 +15,13 @@
 inline constexpr std::string_view kOperatorToken = "operator-token";
 inline constexpr std::chrono::milliseconds kReadyTimeout{ 30'000 };
 
-/// \brief Real daemons on loopback: as many controls and entries as asked for, and targets with
-/// their agents. Everything started is killed when this goes away.
+/// \brief Runs real daemons on loopback: control processes, entries, and targets with their agents.
+/// \remarks The destructor kills all of them.
 /// \code
 /// TestCluster cluster({ .controls = 3, .entries = 2 });
-/// cluster.AddReplica("hire-assist", 4);
-/// cluster.Apply(cluster.DefaultCatalogue());
-/// ASSERT_TRUE(cluster.WaitServing("hire-assist"));
+/// cluster.AddEngineVms("vm", 4, "fabric-a");
+/// ASSERT_EQ(cluster.Apply(TestCluster::DefaultCatalogue()).status, 200U);
+/// ASSERT_TRUE(cluster.WaitServing());
 /// \endcode
 class TestCluster
 {
@@ -36,7 +36,7 @@
 
   /// \brief Starts the engines and agents of `count` VMs named `prefix-1`, `prefix-2`, ...
   void AddEngineVms(const std::string& prefix, std::size_t count, const std::string& fabricDomain);
-  /// \brief Starts one engine VM whose agent listens at `listen` and tells its peers `announce`.
+  /// \brief Starts one engine VM whose agent listens at `listen` and announces `announce` to peers.
   void AddForwardedEngineVm(const std::string& vm,
                             const std::string& listen,
                             const std::string& announce);
@@ -44,12 +44,13 @@
   void AddServiceVm(const std::string& vm, const std::string& service);
 
   /// \brief Writes catalogue entries (a JSON array of entries) through the admin API.
-  /// \remarks Tries every control until one takes it. A change id of its own each time.
+  /// \remarks Tries each control process until one accepts it. Each call uses a new change id.
   [[nodiscard]] HttpReply Apply(const std::string& entriesJson);
-  /// \brief A model of four VMs, a plain service with non-repeatable bookings, a workspace.
+  /// \brief A model with four VMs per replica, a plain service with a non-repeatable path, and a
+  /// workspace.
   [[nodiscard]] static std::string DefaultCatalogue(std::size_t replicas = 1);
 
-  /// \brief A call to the admin API of the control that leads.
+  /// \brief Calls the admin API of the leading control process.
   [[nodiscard]] HttpReply Admin(const std::string& method,
                                 const std::string& target,
                                 const std::string& body = "");
@@ -76,9 +77,9 @@
   [[nodiscard]] std::string TargetAddress(const std::string& vm) const { return m_targets.at(vm); }
   [[nodiscard]] std::string ControlAddress(std::size_t control) const;
   [[nodiscard]] std::string DataFolder(std::size_t control) const;
-  /// \brief Starts a daemon again with the settings it had.
+  /// \brief Kills a daemon if it runs, and starts it again with its former settings.
   void Restart(const std::string& name);
-  /// \brief What every process printed, for a failed test.
+  /// \brief The output of all processes, for the message of a failed check.
   [[nodiscard]] std::string Outputs() const;
 
 private:
@@ -101,7 +102,7 @@
   std::uint64_t m_changes = 0;
 };
 
-/// \brief The hex SHA-256 of a token, as the catalogue and the settings hold it.
+/// \brief The hexadecimal SHA-256 of a token, as used in the catalogue and the settings.
 [[nodiscard]] std::string HashToken(std::string_view token);
 
 } // namespace gooseberrysail::test
