--- a/bench/agent_capacity.cpp
+++ b/bench/agent_capacity.cpp
@@ -1,7 +1,7 @@
-/// \file What an agent costs, as slopes over sizes: processor time and bytes of a head and a member
-/// for the group's upkeep, processor time and memory for requests. Prints tables with the fit
-/// (least squares) and its largest residual. Drives the real systems under scripted time; sockets
-/// are not in it.
+/// \file Measures the cost of an agent at several sizes: processor time and bytes for the
+/// heartbeats and reports of a head and of a member, processor time and memory for requests. Prints
+/// tables, a least-squares fit and its largest residual. Runs the real role under scripted time,
+/// without sockets.
 
 #include "linear_fit.hpp"
 #include "support/agent_harness.hpp"
@@ -20,7 +20,7 @@
 using test::AgentHarness;
 
 constexpr std::size_t kFramePrefixBytes = 4;
-constexpr int kUpkeepSeconds = 60;
+constexpr int kIdleSeconds = 60;
 constexpr double kNanosPerMicro = 1000.0;
 
 double CpuMicros()
@@ -31,14 +31,14 @@
          static_cast<double>(spent.tv_nsec) / kNanosPerMicro;
 }
 
-/// Processor time of the role alone, and bytes of frames to and from everybody but entries.
+/// Measures the processor time of the role alone and the bytes of all frames but those of entries.
 class Meter
 {
 public:
   explicit Meter(AgentHarness& agent)
   {
-    agent.beforeTick = [this] { m_began = CpuMicros(); };
-    agent.afterTick = [this] { cpuMicros += CpuMicros() - m_began; };
+    agent.beforeTick = [this] { m_tickStart = CpuMicros(); };
+    agent.afterTick = [this] { cpuMicros += CpuMicros() - m_tickStart; };
     agent.onOutput = [this](TimePoint, const AgentOutput& output) {
       if (const auto* frame = std::get_if<FrameOut>(&output)) {
         Count(frame->peer, *frame->envelope);
@@ -63,7 +63,7 @@
       ++frames;
     }
   }
-  double m_began = 0;
+  double m_tickStart = 0;
 };
 
 using gooseberrysail::bench::FitPoint;
@@ -79,10 +79,10 @@
               gooseberrysail::bench::LargestResidual(fit, points));
 }
 
-void MeasureHeads()
+void MeasureIdleHeads()
 {
   std::printf("head of a group, idle, %d s\n%8s %14s %14s %12s\n",
-              kUpkeepSeconds,
+              kIdleSeconds,
               "members",
               "control B/s",
               "frames/s",
@@ -93,13 +93,13 @@
     AgentHarness agent({ .members = members });
     agent.FormGroup(7);
     Meter meter(agent);
-    agent.Advance(std::chrono::seconds(kUpkeepSeconds));
-    const double bytesPerSecond = static_cast<double>(meter.controlBytes) / kUpkeepSeconds;
-    const double cpuPerSecond = meter.cpuMicros / kUpkeepSeconds;
+    agent.Advance(std::chrono::seconds(kIdleSeconds));
+    const double bytesPerSecond = static_cast<double>(meter.controlBytes) / kIdleSeconds;
+    const double cpuPerSecond = meter.cpuMicros / kIdleSeconds;
     std::printf("%8zu %14.1f %14.2f %12.1f\n",
                 members,
                 bytesPerSecond,
-                static_cast<double>(meter.frames) / kUpkeepSeconds,
+                static_cast<double>(meter.frames) / kIdleSeconds,
                 cpuPerSecond);
     bytes.push_back({ static_cast<double>(members), bytesPerSecond });
     cpu.push_back({ static_cast<double>(members), cpuPerSecond });
@@ -108,10 +108,10 @@
   PrintFit("cpu of a head", "us/s", cpu);
 }
 
-void MeasureMember()
+void MeasureIdleMember()
 {
-  std::printf("\nmember of a group of 4, by beats asked a second, %d s\n%8s %14s %12s\n",
-              kUpkeepSeconds,
+  std::printf("\nmember of a group of 4, by heartbeat requests per second, %d s\n%8s %14s %12s\n",
+              kIdleSeconds,
               "beats/s",
               "control B/s",
               "cpu us/s");
@@ -127,13 +127,13 @@
     beat.group = 5;
     beat.epoch = 7;
     beat.configVersion = 1;
-    for (int sent = 0; sent < kUpkeepSeconds * beatsPerSecond; ++sent) {
+    for (int sent = 0; sent < kIdleSeconds * beatsPerSecond; ++sent) {
       beat.nonce = 0x123456789abcdefU + static_cast<std::uint64_t>(sent);
       agent.Frame("agent-vm-2", beat);
       agent.Advance(std::chrono::milliseconds(1000 / beatsPerSecond));
     }
-    const double bytesPerSecond = static_cast<double>(meter.controlBytes) / kUpkeepSeconds;
-    const double cpuPerSecond = meter.cpuMicros / kUpkeepSeconds;
+    const double bytesPerSecond = static_cast<double>(meter.controlBytes) / kIdleSeconds;
+    const double cpuPerSecond = meter.cpuMicros / kIdleSeconds;
     std::printf("%8d %14.1f %12.1f\n", beatsPerSecond, bytesPerSecond, cpuPerSecond);
     bytes.push_back({ static_cast<double>(beatsPerSecond), bytesPerSecond });
     cpu.push_back({ static_cast<double>(beatsPerSecond), cpuPerSecond });
@@ -149,9 +149,9 @@
 
 void MeasureInFlight()
 {
-  constexpr std::size_t kHeldEach = 1024;
-  std::printf("\nrequests in flight, each with %zu B of answer not acknowledged\n%8s %14s\n",
-              kHeldEach,
+  constexpr std::size_t kUnacknowledgedBytes = 1024;
+  std::printf("\nrequests in flight, each with %zu B of unacknowledged answer\n%8s %14s\n",
+              kUnacknowledgedBytes,
               "requests",
               "heap bytes");
   std::vector<FitPoint> memory;
@@ -161,23 +161,22 @@
     const auto before = mallinfo2().uordblks;
     for (std::size_t index = 0; index < requests; ++index) {
       agent.Start(RequestName(index));
-      agent.AnswerCall(RequestName(index), std::string(kHeldEach, 'x'), false);
+      agent.AnswerCall(RequestName(index), std::string(kUnacknowledgedBytes, 'x'), false);
       agent.Forget();
     }
     agent.Advance(std::chrono::milliseconds(50));
     agent.Forget();
-    const double grown = static_cast<double>(mallinfo2().uordblks) - static_cast<double>(before);
-    std::printf("%8zu %14.0f\n", requests, grown);
-    memory.push_back({ static_cast<double>(requests), grown });
+    const double growth = static_cast<double>(mallinfo2().uordblks) - static_cast<double>(before);
+    std::printf("%8zu %14.0f\n", requests, growth);
+    memory.push_back({ static_cast<double>(requests), growth });
   }
-  PrintFit(
-    "heap by requests in flight (the stand-ins' own record of each call included)", "B", memory);
+  PrintFit("heap by requests in flight (including the records of the test harness)", "B", memory);
 }
 
 void MeasureRequests()
 {
   constexpr std::size_t kRequests = 500;
-  std::printf("\ncpu of one request by parts of its answer, %zu requests one after the other\n"
+  std::printf("\ncpu of one request by parts of its answer, %zu sequential requests\n"
               "%8s %16s\n",
               kRequests,
               "parts",
@@ -207,8 +206,8 @@
 
 int main()
 {
-  MeasureHeads();
-  MeasureMember();
+  MeasureIdleHeads();
+  MeasureIdleMember();
   MeasureInFlight();
   MeasureRequests();
 }
--- a/bench/control_capacity.cpp
+++ b/bench/control_capacity.cpp
@@ -1,6 +1,7 @@
-// What one control leader spends, at several sizes: CPU (decoding and encoding of frames included)
-// and bytes of each message, memory of each row. Sockets, fsync and the followers' replication are
-// not in it. Prints a table for each figure with a linear fit and its largest residual.
+// Measures the cost of a control leader at several sizes: processor time (including the decoding
+// and encoding of frames) and bytes of messages, and memory of its state. Sockets, fsync and
+// replication are not included. Prints each figure by size with a linear fit and its largest
+// residual.
 
 #include "gooseberrysail/core/token.hpp"
 #include "gooseberrysail/roles/control_role.hpp"
@@ -49,7 +50,7 @@
   std::vector<std::uint8_t> bytes;
 };
 
-/// \brief A leader whose log commits at once, fed with encoded frames.
+/// \brief A leader whose log commits at once, driven by encoded frames.
 class Leader
 {
 public:
@@ -217,7 +218,7 @@
   return { ProcessId("agent-" + head), Bytes(std::move(report)) };
 }
 
-/// \brief One figure over the sizes.
+/// \brief A measured figure at several sizes.
 struct Figure
 {
   std::string name;
@@ -283,8 +284,8 @@
     for (std::size_t index = 0; index < entries; ++index) {
       wire::ConfigQueryT query;
       query.nonce = 1;
-      query.haveVersion = 1'000'000'000; // Nothing newer: the usual case.
-      queries.push_back({ EntryOfIndex(index), Bytes(std::move(query)) });
+      query.haveVersion = 1'000'000'000; // Nothing newer, which is the usual case.
+      queries.push_back({ EntryId(index), Bytes(std::move(query)) });
     }
     leader.FeedAll(reports);
     std::vector<Frame> inForce;
@@ -299,9 +300,9 @@
     ConnectEntries(leader, entries);
     Add("heap of entries, bytes", "entry", entries, HeapBytes() - heapGroups);
 
-    Cost("announces of all VMs", "VM", vms, leader, announces);
-    Cost("reports and leases of all groups", "group", groups, leader, reports);
-    Cost("confirmations of all entries", "entry", entries, leader, queries);
+    MeasureFrames("announces of all VMs", "VM", vms, leader, announces);
+    MeasureFrames("reports and leases of all groups", "group", groups, leader, reports);
+    MeasureFrames("confirmations of all entries", "entry", entries, leader, queries);
     leader.FeedAll(reports);
     const double idleStart = CpuSeconds();
     leader.Run(seconds(2));
@@ -340,7 +341,7 @@
     found->y.push_back(y);
   }
 
-  static ProcessId EntryOfIndex(std::size_t index)
+  static ProcessId EntryId(std::size_t index)
   {
     return ProcessId("entry-" + std::to_string(index));
   }
@@ -405,10 +406,10 @@
   {
     for (std::size_t index = 0; index < entries; ++index) {
       wire::InForceT inForce;
-      inForce.version = 1'000'000'000; // Whatever is committed is in force.
+      inForce.version = 1'000'000'000; // All committed versions are in force.
       inForce.failureDomain = "domain-" + std::to_string(index % 17);
-      leader.Up(EntryOfIndex(index), "entry");
-      leader.Feed({ EntryOfIndex(index), Bytes(std::move(inForce)) });
+      leader.Up(EntryId(index), "entry");
+      leader.Feed({ EntryId(index), Bytes(std::move(inForce)) });
     }
     const std::size_t before = leader.bytesOut;
     const double start = CpuSeconds();
@@ -420,12 +421,12 @@
         static_cast<double>(leader.bytesOut - before));
   }
 
-  /// \brief CPU and bytes of a set of frames and their answers, median of the rounds.
-  void Cost(const std::string& name,
-            const std::string& per,
-            std::size_t x,
-            Leader& leader,
-            const std::vector<Frame>& frames)
+  /// \brief Measures processor time (median of the rounds) and bytes (mean) of frames and replies.
+  void MeasureFrames(const std::string& name,
+                     const std::string& per,
+                     std::size_t x,
+                     Leader& leader,
+                     const std::vector<Frame>& frames)
   {
     std::vector<double> times;
     const std::size_t in = leader.bytesIn;
@@ -460,8 +461,8 @@
       outcome.ran = true;
       outcome.outcome = "completed";
       outcome.body.assign(kAnswerBytes, 'x');
-      requests.push_back({ EntryOfIndex(0), Bytes(std::move(claim)) });
-      outcomes.push_back({ EntryOfIndex(0), Bytes(std::move(outcome)) });
+      requests.push_back({ EntryId(0), Bytes(std::move(claim)) });
+      outcomes.push_back({ EntryId(0), Bytes(std::move(outcome)) });
     }
     const double heap = HeapBytes();
     const std::size_t log = leader.commandBytes;
--- a/bench/cost_meter.hpp
+++ b/bench/cost_meter.hpp
@@ -8,7 +8,7 @@
 
 namespace gooseberrysail::bench {
 
-/// \brief Processor time that this process has used.
+/// \brief The processor time used by this process.
 inline Duration ProcessorTime()
 {
   timespec time{};
@@ -21,7 +21,7 @@
   return std::chrono::duration<double, std::micro>(duration).count();
 }
 
-/// \brief Memory of this process that is resident.
+/// \brief The resident memory of this process.
 inline double ResidentKilobytes()
 {
   std::ifstream file("/proc/self/statm");
--- a/bench/entry_capacity.cpp
+++ b/bench/entry_capacity.cpp
@@ -1,5 +1,5 @@
-// What an entry's decisions cost: processor time and bytes a request, memory a request in flight,
-// each at several sizes, with a straight line fitted through them. Sockets and HTTP aren't in it.
+// Measures the cost of an entry's role at several sizes: processor time and bytes per request, and
+// memory per request in flight, each with a linear fit. Sockets and HTTP are not included.
 #include "gooseberrysail/roles/entry_role.hpp"
 #include "gooseberrysail/wire/envelope.hpp"
 #include "linear_fit.hpp"
@@ -32,10 +32,10 @@
 {
   double requests = 0;
   double cpuMicros = 0;
-  double bytesSent = 0;     ///< Frames to the agent.
-  double bytesReceived = 0; ///< Frames of the agent.
-  double heapBytes = 0;     ///< With all of the requests in flight.
-  double recordBytes = 0;   ///< With all of them finished, as records.
+  double bytesSent = 0;     ///< In frames to the agent.
+  double bytesReceived = 0; ///< In frames from the agent.
+  double heapBytes = 0;     ///< With all requests in flight.
+  double recordBytes = 0;   ///< With all requests finished and kept as records.
 };
 
 double CpuMicros()
@@ -50,7 +50,7 @@
   return static_cast<double>(mallinfo2().uordblks);
 }
 
-/// Enough groups that admission lets all requests in at once.
+/// Routes to enough groups that admission accepts all requests at once.
 wire::RoutesUpdateT MakeRoutes(std::size_t groups)
 {
   wire::RoutesUpdateT update;
@@ -73,7 +73,7 @@
   return FrameIn{ ProcessId(peer), incarnation, MakeEnvelope(std::move(message)) };
 }
 
-/// \brief One entry whose ticks are timed; what surrounds it is not.
+/// \brief An entry role; only the processor time of its ticks is counted.
 class Entry
 {
 public:
@@ -81,12 +81,12 @@
     : m_step(kRunTime / (requests * (kFrames + 1)))
     , m_role(MakeSettings(), RoleHooks{ [this] { return ++m_random; }, [] { return 1; } })
   {
-    Give(PeerUp{ ProcessId(kControl), "control", Incarnation(1), "" });
-    Give(PeerUp{ ProcessId(kAgent), "agent", Incarnation(3), "" });
-    Give(MakeFrame(kControl, MakeRoutes(requests / kRequestsPerGroup + 1)));
+    Deliver(PeerUp{ ProcessId(kControl), "control", Incarnation(1), "" });
+    Deliver(PeerUp{ ProcessId(kAgent), "agent", Incarnation(3), "" });
+    Deliver(MakeFrame(kControl, MakeRoutes(requests / kRequestsPerGroup + 1)));
   }
 
-  void Give(EntryInput input)
+  void Deliver(EntryInput input)
   {
     m_now += m_step;
     m_inbox.clear();
@@ -97,12 +97,12 @@
       m_role.Tick(m_now, m_inbox, m_outbox);
       cpuMicros += CpuMicros() - before;
       m_inbox.clear();
-      Take();
+      HandleOutputs();
     }
   }
 
-  /// \brief Frees what belongs to the surroundings.
-  void Rest()
+  /// \brief Frees the buffers of this fixture, so that they don't count as memory of the role.
+  void FreeBuffers()
   {
     m_inbox = {};
     m_outbox = {};
@@ -124,7 +124,7 @@
     return settings;
   }
 
-  void Take()
+  void HandleOutputs()
   {
     for (const EntryOutput& output : m_outbox) {
       if (const auto* answer = std::get_if<HttpAnswerOut>(&output)) {
@@ -185,37 +185,37 @@
   Sample sample;
   sample.requests = static_cast<double>(requests);
   Entry entry(requests);
-  entry.Rest();
+  entry.FreeBuffers();
   const double heapBefore = HeapBytes();
   entry.cpuMicros = 0;
   for (std::size_t number = 1; number <= requests; ++number) {
-    entry.Give(MakeCall(number));
+    entry.Deliver(MakeCall(number));
   }
-  entry.Rest();
+  entry.FreeBuffers();
   sample.heapBytes = HeapBytes() - heapBefore;
   for (std::size_t frame = 0; frame < kFrames; ++frame) {
     for (std::size_t number = 1; number <= requests; ++number) {
       FrameIn arrival = MakeFrame(kAgent, MakePart(number, frame));
       sample.bytesReceived +=
         static_cast<double>(EncodeEnvelope(*arrival.envelope).size()) + kLengthPrefix;
-      entry.Give(std::move(arrival));
+      entry.Deliver(std::move(arrival));
     }
   }
-  entry.Rest();
+  entry.FreeBuffers();
   sample.recordBytes = HeapBytes() - heapBefore;
   sample.cpuMicros = entry.cpuMicros;
   sample.bytesSent = entry.bytesSent;
   if (entry.ended != requests) {
-    std::printf("only %zu of %zu requests were answered whole\n", entry.ended, requests);
+    std::printf("only %zu of %zu requests got a complete answer\n", entry.ended, requests);
     std::exit(1);
   }
   return sample;
 }
 
-void Fit(const char* what,
-         const char* unit,
-         const std::vector<Sample>& samples,
-         const std::function<double(const Sample&)>& value)
+void PrintFit(const char* what,
+              const char* unit,
+              const std::vector<Sample>& samples,
+              const std::function<double(const Sample&)>& value)
 {
   std::vector<bench::FitPoint> points;
   for (const Sample& sample : samples) {
@@ -226,7 +226,7 @@
   for (const bench::FitPoint& point : points) {
     worst = std::max(worst, fit.Residual(point) / point.y);
   }
-  std::printf("%-34s %10.2f %s a request, offset %.0f, largest residual %.1f%%\n",
+  std::printf("%-34s %10.2f %s per request, offset %.0f, largest residual %.1f%%\n",
               what,
               fit.slope,
               unit,
@@ -236,7 +236,7 @@
 
 int Run()
 {
-  std::printf("entry decisions: %zu-byte bodies, %zu frames of %zu bytes an answer, 10 s a run\n",
+  std::printf("entry role: %zu-byte bodies, %zu frames of %zu bytes per answer, 10 s per run\n",
               kBodyBytes,
               kFrames,
               kFrameBytes);
@@ -248,7 +248,7 @@
               "heap B/req",
               "record B/req");
   std::vector<Sample> samples;
-  Measure(100); // Fills the allocator and the caches.
+  Measure(100); // Warms up the allocator and the caches.
   for (const std::size_t requests : { 125, 250, 500, 1000, 2000 }) {
     const Sample sample = Measure(requests);
     samples.push_back(sample);
@@ -260,13 +260,12 @@
                 sample.heapBytes / sample.requests,
                 sample.recordBytes / sample.requests);
   }
-  Fit("processor time", "us", samples, [](const Sample& s) { return s.cpuMicros; });
-  Fit("bytes to the agent", "B", samples, [](const Sample& s) { return s.bytesSent; });
-  Fit("bytes from the agent", "B", samples, [](const Sample& s) { return s.bytesReceived; });
-  Fit("memory in flight", "B", samples, [](const Sample& s) { return s.heapBytes; });
-  Fit("memory of a finished one's record", "B", samples, [](const Sample& s) {
-    return s.recordBytes;
-  });
+  PrintFit("processor time", "us", samples, [](const Sample& s) { return s.cpuMicros; });
+  PrintFit("bytes to the agent", "B", samples, [](const Sample& s) { return s.bytesSent; });
+  PrintFit("bytes from the agent", "B", samples, [](const Sample& s) { return s.bytesReceived; });
+  PrintFit("memory in flight", "B", samples, [](const Sample& s) { return s.heapBytes; });
+  PrintFit(
+    "memory of a finished record", "B", samples, [](const Sample& s) { return s.recordBytes; });
   return 0;
 }
 
--- a/bench/http_roundtrip.cpp
+++ b/bench/http_roundtrip.cpp
@@ -1,5 +1,5 @@
-// What the HTTP server costs: memory of open connections, processor time and latency of whole and
-// of streamed answers. The callers live in a child process, so that the figures are those of the
+// Measures the cost of the HTTP server: memory of open connections, processor time and latency of
+// plain and of streamed answers. The callers run in a child process, so that the figures cover the
 // server alone.
 
 #include "cost_meter.hpp"
@@ -21,12 +21,12 @@
 namespace {
 
 constexpr std::array<std::size_t, 4> kConnections{ 50, 100, 200, 400 };
-constexpr std::size_t kRequestsOneByOne = 10000;
-constexpr std::size_t kRequestsTogether = 40000;
+constexpr std::size_t kSequentialRequests = 10000;
+constexpr std::size_t kConcurrentRequests = 40000;
 constexpr std::size_t kCallers = 32;
 constexpr std::size_t kStreams = 2000;
-constexpr std::size_t kPartsOfAStream = 100;
-constexpr Duration kPatience = std::chrono::seconds(60);
+constexpr std::size_t kPartsPerStream = 100;
+constexpr Duration kTimeout = std::chrono::seconds(60);
 
 using bench::FitLine;
 using bench::FitPoint;
@@ -34,7 +34,7 @@
 using bench::ProcessorTime;
 using bench::ResidentKilobytes;
 
-// The child: makes the calls of one phase after the other and tells the server by `/phase/...`.
+// Runs in the child process: makes the calls of each phase, and announces it by `/phase/...`.
 class Callers
 {
 public:
@@ -49,16 +49,16 @@
     OpenConnections();
     Call("/phase/one");
     std::vector<double> micros;
-    for (std::size_t i = 0; i < kRequestsOneByOne; ++i) {
+    for (std::size_t i = 0; i < kSequentialRequests; ++i) {
       const TimePoint sent = BootNow();
       Call("/whole");
       micros.push_back(Micros(BootNow() - sent));
     }
     std::sort(micros.begin(), micros.end());
     Call("/phase/together");
-    Together(kRequestsTogether, "/whole");
+    CallConcurrently(kConcurrentRequests, "/whole");
     Call("/phase/streams");
-    Together(kStreams, "/stream");
+    CallConcurrently(kStreams, "/stream");
     Call("/phase/end");
     std::printf("round trip of one request at a time: p50 %.1f us, p99 %.1f us\n",
                 micros[micros.size() / 2],
@@ -71,20 +71,21 @@
   {
     HttpClientSettings settings;
     settings.maxIdlePerAddress = 1000;
-    settings.idleFor = kPatience;
+    settings.idleFor = kTimeout;
     return settings;
   }
 
   void Call(const std::string& path)
   {
-    const auto reply = m_client.Fetch(m_address, "POST", path, {}, "prompt", kPatience);
+    const auto reply = m_client.Fetch(m_address, "POST", path, {}, "prompt", kTimeout);
     if (!reply) {
       std::fprintf(stderr, "%s failed: %s\n", path.c_str(), ToString(reply.error()).c_str());
       std::_Exit(1);
     }
   }
 
-  // Calls that the server answers only when all have arrived each need a connection of their own.
+  // The server answers these calls only when all have arrived, so that each needs its own
+  // connection.
   void OpenConnections()
   {
     for (const std::size_t count : kConnections) {
@@ -103,7 +104,7 @@
     }
   }
 
-  void Together(std::size_t calls, const std::string& path)
+  void CallConcurrently(std::size_t calls, const std::string& path)
   {
     std::size_t running = kCallers;
     std::size_t left = calls;
@@ -128,10 +129,10 @@
   HttpClient m_client;
 };
 
-class Served
+class MeasuredServer
 {
 public:
-  Served()
+  MeasuredServer()
     : m_server(m_runtime, MakeSettings(), MakeHooks())
   {
     m_started = m_server.Start().has_value();
@@ -152,7 +153,7 @@
   HttpServerHooks MakeHooks()
   {
     HttpServerHooks hooks;
-    hooks.onRequest = [this](const HttpRequestIn& request) { Take(request); };
+    hooks.onRequest = [this](const HttpRequestIn& request) { HandleRequest(request); };
     return hooks;
   }
 
@@ -167,7 +168,7 @@
     m_server.Send(std::move(part));
   }
 
-  void Take(const HttpRequestIn& request)
+  void HandleRequest(const HttpRequestIn& request)
   {
     if (request.target.starts_with("/hold/")) {
       Hold(request);
@@ -181,12 +182,12 @@
     }
   }
 
-  // A part each time the previous one was taken, as a model makes token after token.
+  // Sends one part per millisecond, as a model produces one token after another.
   void Stream(ExchangeId exchange)
   {
     ++m_requests;
-    for (std::size_t i = 1; i <= kPartsOfAStream; ++i) {
-      Answer(exchange, 64, i == kPartsOfAStream);
+    for (std::size_t i = 1; i <= kPartsPerStream; ++i) {
+      Answer(exchange, 64, i == kPartsPerStream);
       m_runtime.SleepFor(std::chrono::milliseconds(1));
     }
   }
@@ -194,26 +195,26 @@
   void Hold(const HttpRequestIn& request)
   {
     m_held.push_back(request.exchange);
-    const std::size_t wanted = std::stoul(request.target.substr(6));
-    if (m_held.size() < wanted) {
+    const std::size_t expected = std::stoul(request.target.substr(6));
+    if (m_held.size() < expected) {
       return;
     }
     const double resident = ResidentKilobytes();
-    std::printf("%zu exchanges open: %.0f KB resident\n", wanted, resident);
-    m_points.push_back({ static_cast<double>(wanted), resident });
+    std::printf("%zu exchanges open: %.0f KB resident\n", expected, resident);
+    m_points.push_back({ static_cast<double>(expected), resident });
     for (const ExchangeId exchange : m_held) {
       Answer(exchange, 200, true);
     }
     m_held.clear();
-    if (wanted == kConnections.back()) {
+    if (expected == kConnections.back()) {
       std::printf("slope for one more open exchange: %.1f KB\n", FitLine(m_points).slope);
     }
   }
 
   void EndPhase(const HttpRequestIn& request)
   {
-    const Duration used = ProcessorTime() - m_usedBefore;
-    const double seconds = Micros(BootNow() - m_begun) / 1e6;
+    const Duration used = ProcessorTime() - m_processorTimeBefore;
+    const double seconds = Micros(BootNow() - m_phaseStart) / 1e6;
     if (m_requests > 0) {
       std::printf("%-10s %8.0f requests/s, %7.2f us of processor time each\n",
                   m_phase.c_str(),
@@ -223,13 +224,13 @@
     std::fflush(stdout);
     m_phase = request.target.substr(7);
     m_requests = 0;
-    m_usedBefore = ProcessorTime();
-    m_begun = BootNow();
+    m_processorTimeBefore = ProcessorTime();
+    m_phaseStart = BootNow();
     Answer(request.exchange, 2, true);
     if (m_phase == "end") {
       m_runtime.Spawn([this] {
         m_server.StopAccepting();
-        m_server.WaitDrained(kPatience);
+        m_server.WaitDrained(kTimeout);
         m_runtime.Stop();
       });
     }
@@ -241,8 +242,8 @@
   std::vector<FitPoint> m_points;
   std::string m_phase;
   std::size_t m_requests = 0;
-  Duration m_usedBefore{};
-  TimePoint m_begun{};
+  Duration m_processorTimeBefore{};
+  TimePoint m_phaseStart{};
   HttpServer m_server;
 };
 
@@ -271,12 +272,12 @@
   if (child == 0) {
     return gooseberrysail::RunCallers(ends[0]);
   }
-  gooseberrysail::Served served;
-  const std::string address = served.Address();
-  if (!served.Started() || write(ends[1], address.data(), address.size()) < 0) {
+  gooseberrysail::MeasuredServer server;
+  const std::string address = server.Address();
+  if (!server.Started() || write(ends[1], address.data(), address.size()) < 0) {
     return 1;
   }
-  served.Run();
+  server.Run();
   int status = 0;
   waitpid(child, &status, 0);
   return status;
--- a/bench/linear_fit.hpp
+++ b/bench/linear_fit.hpp
@@ -13,7 +13,7 @@
   double y = 0;
 };
 
-/// \brief The line that a cost follows: what one more costs, and what it costs besides.
+/// \brief A linear cost model: the cost per unit of size and the constant part.
 struct LinearFit
 {
   double slope = 0;
@@ -26,8 +26,8 @@
   }
 };
 
-/// \brief Least squares over at least two sizes.
-/// \remarks The means come off first: with sums of raw squares, large sizes lose digits.
+/// \brief Fits a line by least squares to points of at least two sizes.
+/// \remarks Subtracts the means first, since sums of raw squares lose precision at large sizes.
 [[nodiscard]] inline LinearFit FitLine(std::span<const FitPoint> points)
 {
   const auto count = static_cast<double>(points.size());
@@ -47,7 +47,7 @@
   return { slope, meanY - slope * meanX };
 }
 
-/// \brief The largest distance of a point from the line.
+/// \brief The largest vertical distance of a point from the line.
 [[nodiscard]] inline double LargestResidual(const LinearFit& fit, std::span<const FitPoint> points)
 {
   double largest = 0;
--- a/bench/net_roundtrip.cpp
+++ b/bench/net_roundtrip.cpp
@@ -1,6 +1,6 @@
-// What a peer connection costs: memory, processor time and bytes when idle, at several numbers of
-// connections, and the latency and processor time of frames. The peers live in a child process, so
-// that the figures are those of one process alone.
+// Measures the cost of peer connections: memory, processor time and bytes of idle connections at
+// several numbers of them, and the latency and processor time of frames. The peers run in a child
+// process, so that the figures cover one process alone.
 
 #include "cost_meter.hpp"
 #include "gooseberrysail/net/peer_mesh.hpp"
@@ -21,7 +21,7 @@
 namespace {
 
 constexpr std::array<std::size_t, 4> kConnections{ 50, 100, 200, 400 };
-constexpr Duration kWatched = std::chrono::seconds(4);
+constexpr Duration kIdleTime = std::chrono::seconds(4);
 constexpr std::size_t kRoundTrips = 20000;
 constexpr std::size_t kStreamedFrames = 200000;
 constexpr std::size_t kWindow = 64;
@@ -44,7 +44,7 @@
   return settings;
 }
 
-// The child: as many meshes as the hub asks for, each of which echoes what it gets.
+// Runs in the child process: as many meshes as the hub requests, each of which echoes all frames.
 class Peers
 {
 public:
@@ -62,18 +62,18 @@
     const std::string name = "peer-" + std::to_string(m_meshes.size());
     PeerMeshHooks hooks;
     const std::size_t index = m_meshes.size();
-    hooks.onFrame = [this, index](const FrameIn& frame) { Take(index, frame); };
+    hooks.onFrame = [this, index](const FrameIn& frame) { HandleFrame(index, frame); };
     hooks.onDown = [this](const PeerDown&) { m_runtime.Stop(); };
     m_meshes.push_back(std::make_unique<PeerMesh>(m_runtime, MakeSettings(name), hooks));
     if (!m_meshes.back()->Start()) {
-      std::fputs("a peer could not listen\n", stderr);
+      std::fputs("bench: a peer could not listen\n", stderr);
       return;
     }
     m_meshes.back()->Send(
       FrameOut{ ProcessId("hub"), m_hubAddress, MakeEnvelope(wire::ConfigQueryT{}) });
   }
 
-  void Take(std::size_t index, const FrameIn& frame)
+  void HandleFrame(std::size_t index, const FrameIn& frame)
   {
     if (const auto* wanted = frame.envelope->body.AsInForce()) {
       while (m_meshes.size() < wanted->version) {
@@ -195,8 +195,8 @@
 
   void MeasureConnections()
   {
-    std::printf("idle connections, watched for %lld ms each; heartbeats as by default\n",
-                static_cast<long long>(ToMillis(kWatched)));
+    std::printf("idle connections, measured for %lld ms each; default heartbeats\n",
+                static_cast<long long>(ToMillis(kIdleTime)));
     std::printf(
       "%12s %12s %16s %18s\n", "connections", "rss KB", "cpu % of a core", "sent bytes/s");
     std::vector<FitPoint> memory;
@@ -210,9 +210,9 @@
       m_runtime.SleepFor(std::chrono::seconds(1));
       const Duration before = ProcessorTime();
       const std::uint64_t sentBefore = m_mesh.Counters().bytesSent;
-      m_runtime.SleepFor(kWatched);
-      const double seconds = Micros(kWatched) / 1e6;
-      const double share = 100 * Micros(ProcessorTime() - before) / Micros(kWatched);
+      m_runtime.SleepFor(kIdleTime);
+      const double seconds = Micros(kIdleTime) / 1e6;
+      const double share = 100 * Micros(ProcessorTime() - before) / Micros(kIdleTime);
       const double sent = static_cast<double>(m_mesh.Counters().bytesSent - sentBefore) / seconds;
       const double resident = ResidentKilobytes();
       const auto connections = static_cast<double>(count);
--- a/bench/request_path.cpp
+++ b/bench/request_path.cpp
@@ -1,6 +1,6 @@
-// Latency and throughput of a small call through entry and agent, against the same call straight to
-// the stand-in engine, in one run; then the cost of 1,000 requests in flight.
-// Run it in the build folder: it starts the daemon and the stand-in from there.
+// Compares latency and throughput of a small call through entry and agent with the same call made
+// directly to the fake engine; then measures the cost of 1,000 requests in flight.
+// Run it in the build folder: it starts the daemon and the fake engine from there.
 
 #include "gooseberrysail/http/http_client.hpp"
 #include "gooseberrysail/net/fiber_runtime.hpp"
@@ -16,7 +16,7 @@
 namespace gooseberrysail::bench {
 namespace {
 
-constexpr std::size_t kCallsEach = 3000;
+constexpr std::size_t kCallsPerPath = 3000;
 constexpr std::size_t kInFlight = 1000;
 constexpr const char* kBody =
   R"({"model":"hire-assist","messages":[{"role":"user","content":"free?"}]})";
@@ -41,7 +41,7 @@
   return std::chrono::duration<double, std::micro>(duration).count();
 }
 
-/// Runs `calls` calls with `concurrency` of them at once, each fiber on a connection of its own.
+/// Makes `calls` calls, `concurrency` at a time, with one connection for each fiber.
 Figures Measure(const Path& path, std::size_t concurrency, std::size_t calls)
 {
   IoRuntime runtime;
@@ -103,10 +103,10 @@
               "calls/s",
               "failed");
   for (const std::size_t concurrency : { 1UL, 16UL, 128UL }) {
-    const Figures straight = Measure(direct, concurrency, kCallsEach);
+    const Figures straight = Measure(direct, concurrency, kCallsPerPath);
     const double entryBefore = CpuSeconds(cluster, "entry-1");
     const double agentBefore = CpuSeconds(cluster, "agent-vm-1");
-    const Figures served = Measure(through, concurrency, kCallsEach);
+    const Figures served = Measure(through, concurrency, kCallsPerPath);
     const double entryCpu = CpuSeconds(cluster, "entry-1") - entryBefore;
     const double agentCpu = CpuSeconds(cluster, "agent-vm-1") - agentBefore;
     for (const auto& [name, figures] :
@@ -125,8 +125,8 @@
       served.medianMicros / straight.medianMicros,
       served.p99Micros / straight.p99Micros,
       served.callsPerSecond / straight.callsPerSecond,
-      entryCpu * 1e6 / kCallsEach,
-      agentCpu * 1e6 / kCallsEach);
+      entryCpu * 1e6 / kCallsPerPath,
+      agentCpu * 1e6 / kCallsPerPath);
   }
 }
 
@@ -135,8 +135,8 @@
   for (const char* vm : { "vm-1", "vm-2", "vm-3", "vm-4" }) {
     static_cast<void>(cluster.CallTarget(vm, "POST", "/switch", R"({"answerDelayMs":3000})"));
   }
-  // Every call waits three seconds at the engine, so all of the round are in flight at once; the
-  // memory read right after holds the peak that the allocator has not given back.
+  // Each call waits three seconds at the engine, so that all are in flight at once. The memory read
+  // right after them includes the peak, which the allocator has not returned yet.
   const Figures figures = Measure(through, kInFlight, kInFlight);
   std::printf("%zu in flight: failed %zu, median %.0f ms; resident MB: entry %.1f, agent %.1f\n",
               kInFlight,
@@ -146,10 +146,10 @@
               ResidentMegabytes(cluster, "agent-vm-1"));
 }
 
-/// What each process spends while nobody calls: beats, reports, confirmations, timers.
+/// Measures each process without calls: heartbeats, reports, confirmations and timers.
 void MeasureIdle(test::TestCluster& cluster)
 {
-  constexpr double kWatchSeconds = 10;
+  constexpr double kIdleSeconds = 10;
   const std::vector<std::string> processes = { "control-1", "entry-1", "agent-vm-1", "agent-vm-2" };
   std::vector<double> before;
   for (const std::string& process : processes) {
@@ -157,12 +157,12 @@
   }
   IoRuntime runtime;
   runtime.SleepFor(
-    std::chrono::duration_cast<Duration>(std::chrono::duration<double>(kWatchSeconds)));
+    std::chrono::duration_cast<Duration>(std::chrono::duration<double>(kIdleSeconds)));
   for (std::size_t index = 0; index < processes.size(); ++index) {
     const double spent = CpuSeconds(cluster, processes[index]) - before[index];
     std::printf("idle %-10s %.2f %% of a core, %.1f MB resident\n",
                 processes[index].c_str(),
-                spent / kWatchSeconds * 100,
+                spent / kIdleSeconds * 100,
                 ResidentMegabytes(cluster, processes[index]));
   }
 }
@@ -188,7 +188,7 @@
       {"kind":"workspace","name":"bench","owner":"bench","class":"interactive","spec":{"tokenHash":")" +
     test::HashToken(test::kWorkspaceToken) + R"("}}])";
   if (cluster.Apply(catalogue).status != 200 || !cluster.WaitServing()) {
-    std::fprintf(stderr, "the cluster does not serve\n%s", cluster.Outputs().c_str());
+    std::fprintf(stderr, "bench: the cluster does not serve\n%s", cluster.Outputs().c_str());
     return 1;
   }
   const std::string head = HeadName(cluster);
