--- a/tools/demo.py
+++ b/tools/demo.py
@@ -1,7 +1,7 @@
-"""Runs one control, one entry, the agents of a four-VM replica and one plain service on loopback.
+"""Runs one control process, one entry, a four-VM replica and a plain service with agents on loopback.
 
 Usage: python3 tools/demo.py BUILD_FOLDER
-Prints each answer and what became of the request, then stops every process it started.
+Prints each answer and the record of its request, then stops all processes that it started.
 """
 
 import hashlib
@@ -42,11 +42,11 @@
         except OSError:
             pass
         time.sleep(0.02)
-    raise SystemExit("demo: gave up waiting until " + what)
+    raise SystemExit("demo: timed out waiting until " + what)
 
 
 class Demo:
-    """The processes of one run and the folder with their settings."""
+    """Holds the processes of one run and the folder with their settings."""
 
     def __init__(self, build, folder):
         self.build = build
@@ -109,7 +109,7 @@
         return answer, text
 
     def stop(self):
-        """Agents first: while control lives, it releases their groups and they leave at once."""
+        """Stops agents first: they exit at once while control still runs and releases their groups."""
         for role in ("agent", "entry", "target", "control"):
             self.stop_all([entry for entry in self.processes if entry[0].startswith(role)])
 
@@ -202,7 +202,7 @@
             raise
         finally:
             demo.stop()
-        print("demo: every process it started has stopped")
+        print("demo: all processes have stopped")
 
 
 if __name__ == "__main__":
--- a/tools/lost_worth.py
+++ b/tools/lost_worth.py
@@ -1,13 +1,13 @@
 #!/usr/bin/env python3
-"""Tells from the log lines of entries and control where requests were lost, and why.
+"""Reports from the logs of entries and control which requests were lost, and why.
 
 Usage: tools/lost_worth.py LOG [--seconds N] [--plot FILE.svg]
 
-LOG holds lines of all entries and control processes, each with its event's number, name and fields; a number
-before the line is taken for its time in seconds, else the line's own time is. Prints, by span of seconds and
-model: what was asked, answered in time, late, and refused, and the groups that served; for each group that
-was lost the time from its end until the next of its model was formed and open; and the reasons of what was
-refused or late, with the part of all requests that each took. Needs Python alone.
+LOG contains the log lines of all entries and control processes, each with the number, name and fields of an
+event. A number before the line is used as its time in seconds, otherwise the timestamp of the line. Prints, by
+interval and model, the requests sent, answered in time, late and refused, and the serving groups; for each lost
+group the time until the next group of its model was formed and open; and the reasons of refused and late
+requests with their share of all requests. Needs no packages but the standard library.
 """
 
 import argparse
@@ -49,7 +49,7 @@
 
 
 def outcome_of(event):
-    """in time, late, refused, failed or gone, as the entry saw it."""
+    """Returns the outcome that the entry recorded: in time, late, refused, failed or gone."""
     if event.fields.get("outcome") == "answered" and event.fields.get("status", "").startswith("2"):
         first = event.number("firstMillis") or event.number("millis")
         return "in time" if first <= event.number("aimMillis") else "late"
@@ -61,12 +61,12 @@
 def reason_of(event):
     outcome = outcome_of(event)
     if outcome == "late":
-        return "late: another target after the first" if event.number("attempts") > 1 else "late: waited at its target"
-    return outcome + ": " + (event.fields.get("reason") or "no reason told")
+        return "late: more than one attempt" if event.number("attempts") > 1 else "late: one attempt"
+    return outcome + ": " + (event.fields.get("reason") or "no reason recorded")
 
 
 class Groups:
-    """Follows groups by their names: when each opened, ended, and what followed it."""
+    """Tracks when each group opened and ended, and the group that replaced it."""
 
     def __init__(self, events):
         self.open = {}  # name -> model
@@ -115,13 +115,13 @@
 def print_reasons(answers):
     reasons = collections.Counter((e.fields.get("model", ""), reason_of(e)) for e in answers if outcome_of(e) != "in time")
     total = len(answers)
-    print("\nlost, by model and reason (of %d requests; times as the entry saw them)" % total)
+    print("\nlost, by model and reason (of %d requests; times as measured by the entry)" % total)
     for (model, reason), count in reasons.most_common(25):
         print("%6d %5.1f%%  %-14s %s" % (count, 100 * count / max(total, 1), model or "-", reason))
 
 
 def print_chains(chains):
-    print("\ngroups lost: given up at, then milliseconds until the next of the model was formed and open")
+    print("\nlost groups: time of the loss, then milliseconds until the next group of the model was formed and open")
     for chain in chains:
         formed = "%.0f" % (1000 * (chain["formed"] - chain["ended"])) if "formed" in chain else "-"
         opened = "%.0f" % (1000 * (chain["opened"] - chain["ended"])) if "opened" in chain else "-"
@@ -132,7 +132,7 @@
 
 
 def write_plot(path, spans, seconds):
-    """Requests by span, stacked: in time, late, refused and failed."""
+    """Plots the requests of each interval as stacked bars: in time, late, refused and failed."""
     sums = collections.defaultdict(collections.Counter)
     for (start, _), counts in spans.items():
         sums[start].update(counts)
@@ -159,7 +159,7 @@
 def main():
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("log")
-    parser.add_argument("--seconds", type=int, default=2, help="length of a span")
+    parser.add_argument("--seconds", type=int, default=2, help="length of an interval")
     parser.add_argument("--plot", default="")
     options = parser.parse_args()
     events = read_events(options.log)
--- a/tools/platform_days.py
+++ b/tools/platform_days.py
@@ -1,11 +1,11 @@
 #!/usr/bin/env python3
-"""Plays a day of its own for each kind of trouble on the users' bench and tells which rules broke.
+"""Runs one day for each kind of trouble on the users' bench and reports the rules that broke.
 
 Usage: tools/platform_days.py BENCH SITE... [--only WORD] [--seed N] [--jobs N] [--why TEXT]
        tools/platform_days.py --write deploy/days
 
-BENCH is the bench's program, SITE a site file. Each trouble stands alone on an otherwise calm day,
-twice; pairs follow. Prints a line for each day: kept or broken, worth, and the rules.
+BENCH is the executable of the bench, SITE a site file. Each trouble occurs twice on a day without other
+troubles; days with pairs of troubles follow. Prints one line per day: kept or broken, worth, and the rules.
 """
 
 import argparse
@@ -15,7 +15,7 @@
 import subprocess
 import tempfile
 
-# Kind, variant and fields; the variants are those that the bench lists.
+# Kind, variant and fields, as defined by the bench.
 TROUBLES = [
     ("burst", "", "x = 1.7, for_s = 4.0"),
     ("shift", "", "share = 0.5, for_s = 6.0"),
@@ -119,7 +119,7 @@
     ("revoke", "last", "count = 2, gap_s = 1.5"),
 ]
 
-# Troubles that overlap: the second begins 0.5 s after the first.
+# Overlapping troubles: the second starts 0.5 s after the first.
 PAIRS = [
     ("srv_crash domain dark", "node_kill leader"),
     ("srv_crash domain dark", "herd_kill"),
@@ -144,7 +144,7 @@
 
 
 def calm_day(site_text):
-    """The first day of a site file, without its troubles."""
+    """Returns the first day of a site file without its troubles."""
     start = site_text.index("[[day]]") + len("[[day]]\n")
     day = site_text[start : site_text.index("[[day]]", start)]
     day = re.sub(r"plan = \[\n.*?\n\]", "plan = []", day, flags=re.S)
@@ -175,7 +175,7 @@
 
 
 def find_trouble(name):
-    """The entry of TROUBLES whose kind and variant these words are."""
+    """Returns the entry of TROUBLES with this kind and variant, such as "node_kill leader"."""
     kind, _, how = name.partition(" ")
     return next(each for each in TROUBLES if each[0] == kind and each[1] == how)
 
@@ -201,7 +201,7 @@
 
 
 def write_days(folder):
-    """Each of the days for any site, which a hunt plays with other times and figures."""
+    """Writes each day in a form for any site; a hunt varies its times and figures."""
     blank = 'name = ""\none = 1.0\nplan = []\nfaults = []\n'
     for name, text in list_days('services = [{ name = "@s0" }]\n[[day]]\n' + blank + "[[day]]", 1):
         kept = [line for line in text.splitlines() if not line.startswith("one = ")]
--- a/tools/short_days.py
+++ b/tools/short_days.py
@@ -1,10 +1,10 @@
 #!/usr/bin/env python3
-"""Lists the days of journal entries that earned less than a floor, and those that broke a rule.
+"""Lists the days in journal entries that earned less than a floor or broke a rule.
 
 Usage: tools/short_days.py [ENTRY.json ...]
 
-The bench's lines of a hunt name broken rules only; what a day lacked of its floors stands in the entry.
-Without arguments the newest entry is read. Exits with 1 if any day is short or broke a rule.
+The output of a hunt names broken rules only; missed floors are recorded in the journal entry.
+Without arguments the newest entry is read. Exits with 1 if any day is listed.
 """
 
 import argparse
--- a/tools/worth_means.py
+++ b/tools/worth_means.py
@@ -1,10 +1,10 @@
 #!/usr/bin/env python3
-"""Plays the standard days of sites with several seeds and tells the mean worth and what was refused.
+"""Runs the standard days of sites with several seeds and prints the means of worth, served and refused.
 
 Usage: tools/worth_means.py BENCH SITE... [--days NAME,...] [--seeds N,...] [--jobs N] --why TEXT
 
-A single day's worth scatters by some 0.1 from run to run; a change of policy is judged by the mean over
-days and seeds. Processor time is not charged (--no-cpu), which makes plays repeat more closely.
+The worth of a single day varies by about 0.1 between runs, so that changes of policy are compared by the
+mean over days and seeds. Processor time is not charged (--no-cpu), which reduces the variation.
 """
 
 import argparse
--- a/tools/worth_plot.py
+++ b/tools/worth_plot.py
@@ -3,8 +3,8 @@
 
 Usage: tools/worth_plot.py JOURNAL OUTPUT
 
-Writes OUTPUT/worth-SITE.svg for each site, with gnuplot (package gnuplot-nox). A round is one full
-score; scores that did not finish are left out. Days that were drawn at random are left out, too.
+Writes OUTPUT/worth-SITE.svg for each site with gnuplot (package gnuplot-nox). A round is one full
+score. Unfinished scores and randomly drawn days are skipped.
 """
 
 import argparse
@@ -25,7 +25,7 @@
 
 
 def read_scores(journal):
-    """Finished scores of each site in order of time: lists of {day: worth}."""
+    """Returns the finished scores of each site by time, as lists of {day: worth}."""
     sites = {}
     entries = [json.loads(file.read_text()) for file in sorted(journal.glob("*.json"))]
     for entry in sorted(entries, key=lambda entry: entry["at"][0]):
@@ -38,7 +38,7 @@
 
 
 def plot(site, rounds, output):
-    """Draws one curve a day; a day that a round lacks leaves a gap."""
+    """Draws one curve per day, with a gap where a round lacks the day."""
     names = sorted({name for days in rounds for name in days})
     blocks = []
     for name in names:
