--- a/tests/golden/agent_session_test.cpp
+++ b/tests/golden/agent_session_test.cpp
@@ -22,7 +22,7 @@
 // Guards against a group that serves with a dead member, and against callers that get no outcome.
 // vm-3 fails permanently while one answer streams and another request waits. The engine detects
 // the lost rank late, so the head must rely on the missing heartbeats.
-TEST(AgentSession, AMemberDiesWhileAnAnswerStreams)
+TEST(AgentSession, AMemberFailsWhileAnAnswerStreams)
 {
   AgentHarness agent({ .maxConcurrent = 1 });
   agent.FormGroup(7);
--- a/tests/golden/cli_session_test.cpp
+++ b/tests/golden/cli_session_test.cpp
@@ -120,7 +120,7 @@
   std::string m_text;
 };
 
-TEST(CliSession, AnOperatorLooksRoundAndDrainsATarget)
+TEST(CliSession, InspectsAClusterAndDrainsATarget)
 {
   Transcript session;
   session.Run({ "status" }, kStatus);
--- a/tests/golden/control_race_session_test.cpp
+++ b/tests/golden/control_race_session_test.cpp
@@ -131,7 +131,7 @@
 // revision from the conflict reply. Needs all three mechanisms: revisions compared when the log is
 // applied, change ids stored with their outcome, and answers only from a leader that a quorum
 // confirmed.
-TEST(ControlSession, TwoOperatorsRaceAndTheLeaderGoesSilent)
+TEST(ControlSession, TwoOperatorsRaceAndTheLeaderIsCutOff)
 {
   const auto change = [](const std::string& id, const std::string& version, const char* revision) {
     const std::string operatorName = id.substr(0, id.find('-'));
--- a/tests/golden/request_session_test.cpp
+++ b/tests/golden/request_session_test.cpp
@@ -67,7 +67,7 @@
 
 // Guards against answers that are mixed up or assembled in the wrong order, as when frames are used
 // in order of arrival. Two answers run at once; their frames arrive reversed, each of them twice.
-TEST(RequestSession, LateAndReversedFramesReachTheirOwnCallerWhole)
+TEST(RequestSession, ReversedAndRepeatedFramesReachTheirOwnCallers)
 {
   RequestWorld world;
   const std::uint64_t first = world.Chat("entry-1", true);
@@ -97,7 +97,7 @@
 // The request's frame is delayed on a connection that seems dead; the agent, queried over a new
 // connection, doesn't know the request; then the frame arrives. "Unknown" doesn't mean "not run":
 // only a request that the agent has sealed can never start.
-TEST(RequestSession, NotRunIsTrueAlsoWhenTheFrameArrivesLate)
+TEST(RequestSession, NotRunHoldsWhenTheFrameArrivesLate)
 {
   RequestWorld world({ wire::TargetKind::Service, { "entry-1" } });
   world.Story("the booking leaves the entry and hangs on its way");
@@ -118,7 +118,7 @@
 
 // Guards against a "not run" outcome for a request that ran. The agent passes the request to the
 // service and is killed; the restarted agent has no record of it, which proves nothing.
-TEST(RequestSession, AfterAnAgentsDeathTheOutcomeIsCut)
+TEST(RequestSession, TheOutcomeIsCutAfterAnAgentWasKilled)
 {
   RequestWorld world({ wire::TargetKind::Service, { "entry-1" } });
   const std::uint64_t booking = world.Book("entry-1", "");
--- a/tests/process/agent_process_test.cpp
+++ b/tests/process/agent_process_test.cpp
@@ -46,7 +46,7 @@
 // Guards against a replica that serves while one of its VMs hangs, or that never recovers from it.
 // A member's agent is stopped by SIGSTOP and continued a few seconds later. A stopped process keeps
 // its connections open, so that only its missing heartbeats show the failure.
-TEST(AgentProcess, AFrozenMemberClosesTheGateAndItsReturnOpensIt)
+TEST(AgentProcess, AFrozenMemberStopsTheReplicaUntilItContinues)
 {
   TestCluster cluster({ .controls = 1, .entries = 1 });
   cluster.AddEngineVms("vm", 4, "fabric-a");
@@ -76,7 +76,7 @@
 // Guards against a head that serves after its lease expired, at the same time as its successor. The
 // head's agent is stopped for 6 s (the lease is 4 s) while a request is sent to it. The request
 // waits in its socket buffer and is the first input that the agent reads once it continues.
-TEST(AgentProcess, AHeadThatWasFrozenPastItsLeaseRunsNothingThatWaitedForIt)
+TEST(AgentProcess, AHeadFrozenPastItsLeaseRunsNoWaitingRequest)
 {
   TestCluster cluster({ .controls = 1, .entries = 1 });
   cluster.AddEngineVms("vm", 4, "fabric-a");
--- a/tests/process/control_failure_test.cpp
+++ b/tests/process/control_failure_test.cpp
@@ -56,7 +56,7 @@
 // one after another; the leader is killed between two of them, and the other two processes elect a
 // new one. A change acknowledged before a quorum synced it would be stored by the killed leader
 // alone.
-TEST(ControlFailure, AcknowledgedChangesOutliveAKilledLeader)
+TEST(ControlFailure, AcknowledgedChangesSurviveAKilledLeader)
 {
   TestCluster cluster({ .controls = 3, .entries = 0 });
   for (std::size_t number = 0; number < kChanges; ++number) {
@@ -74,7 +74,7 @@
 // Guards against stale reads from a former leader. The leader is stopped by SIGSTOP; the others
 // elect a new leader and commit a change; then the former leader continues. It can't tell how long
 // it was stopped and still acts as the leader of its old term.
-TEST(ControlFailure, AThawedLeaderAnswersNothingFromItsFormerTerm)
+TEST(ControlFailure, AFormerLeaderServesNoStaleReads)
 {
   TestCluster cluster({ .controls = 3, .entries = 0 });
   ASSERT_EQ(cluster.Apply(PolicyEntry(0)).status, 200U) << cluster.Outputs();
@@ -98,7 +98,7 @@
 // Guards against a control process that lost its disk and votes without its former votes and log.
 // One of three loses its data folder and starts empty; later another one is killed. An empty voter
 // under its old name could elect a leader that lacks acknowledged changes.
-TEST(ControlFailure, AWipedVoterIsLetInAgainAndThenCarriesItsPart)
+TEST(ControlFailure, AWipedVoterIsReadmittedAndCountsForTheQuorum)
 {
   TestCluster cluster({ .controls = 3, .entries = 0 });
   for (std::size_t number = 0; number < 5; ++number) {
@@ -127,7 +127,7 @@
 // acknowledged change. The process is killed, a partial record is appended to its log, and it
 // starts again; then two bytes in the middle are overwritten. A torn tail is an unfinished write
 // and is truncated; damage in the middle means that synced data was lost.
-TEST(ControlFailure, ATornTailIsCutAndADamagedMiddleIsRefusedWithItsPlace)
+TEST(ControlFailure, ATornTailIsTruncatedAndADamagedMiddleIsReportedWithItsOffset)
 {
   TestCluster cluster({ .controls = 1, .entries = 0 });
   for (std::size_t number = 0; number < 5; ++number) {
--- a/tests/process/observe_test.cpp
+++ b/tests/process/observe_test.cpp
@@ -24,7 +24,7 @@
 
 // Checks what operators can read about one request that ran through real processes: the merged
 // timeline of events, and the metrics of each process.
-TEST(Observe, TimelineAndMetricsTellOfARequestOverAllProcesses)
+TEST(Observe, TimelineAndMetricsCoverAllProcessesOfARequest)
 {
   TestCluster cluster({ .controls = 1, .entries = 1 });
   cluster.AddEngineVms("vm", 4, "fabric-a");
--- a/tests/process/platform_path_test.cpp
+++ b/tests/process/platform_path_test.cpp
@@ -130,7 +130,7 @@
 
 // Runs the whole path in separate processes: a configuration is committed as one atomic change of
 // control's log, and an entry that discovered control through a seed applies it.
-TEST(PlatformPath, AConfigurationIsInForceAtAnEntryAndNeverGoesBack)
+TEST(PlatformPath, AConfigurationIsInForceAtAnEntryAndNeverReverts)
 {
   Installation site;
   EXPECT_TRUE(WaitUntil([&] { return site.Readiness() == 503; }, kTimeout));
@@ -168,7 +168,7 @@
 
 // Guards against a process that ends when its settings are reloaded: without a handler, SIGHUP
 // would end it. Reloads a valid file by SIGHUP and an invalid one by the change of the file.
-TEST(PlatformPath, SettingsAreReadAgainWithoutLosingTheProcess)
+TEST(PlatformPath, SettingsAreReloadedWithoutARestart)
 {
   Installation site;
   EXPECT_EQ(site.Put(Config(7)), 200U);
--- a/tests/process/request_failure_test.cpp
+++ b/tests/process/request_failure_test.cpp
@@ -108,7 +108,7 @@
 // Guards against a replica that answers while one of its VMs is frozen, or that never serves again.
 // One member's agent is stopped by SIGSTOP for longer than the member timeout, then continued. A
 // stopped process keeps its connections open, so that only missing heartbeats show the failure.
-TEST(Membership, AFrozenMemberClosesTheGateUntilItIsBack)
+TEST(Membership, AMemberFrozenPastTheTimeoutStopsTheReplica)
 {
   TestCluster cluster({ .controls = 1, .entries = 1 });
   cluster.AddEngineVms("vm", 4, "fabric-a");
@@ -223,17 +223,17 @@
 
 // Guards against answers cut whenever a process is updated. A process gets SIGTERM while many
 // requests run, long streams among them; it must not exit before its last answer was delivered.
-TEST_F(GracefulStop, AnEntryLeavesWithoutCuttingAnAnswer)
+TEST_F(GracefulStop, AnEntryExitsWithoutCuttingAnAnswer)
 {
   StopUnderLoad("entry-1");
 }
 
-TEST_F(GracefulStop, AnAgentOfAGroupLeavesWithoutCuttingAnAnswer)
+TEST_F(GracefulStop, AnAgentOfAGroupExitsWithoutCuttingAnAnswer)
 {
   StopUnderLoad("agent-vm-1");
 }
 
-TEST_F(GracefulStop, ControlLeavesWithoutCuttingAnAnswer)
+TEST_F(GracefulStop, ControlExitsWithoutCuttingAnAnswer)
 {
   StopUnderLoad("control-1");
 }
--- a/tests/process/silent_connection_test.cpp
+++ b/tests/process/silent_connection_test.cpp
@@ -11,7 +11,7 @@
 // streams, the network silently drops all data of the connection between entry and agent, in both
 // directions; new connections work. Neither end gets an error, so that only missing heartbeats show
 // the failure.
-TEST(SilentConnection, TheStreamGoesOnOverANewConnectionByteForByte)
+TEST(SilentConnection, TheStreamContinuesOverANewConnectionByteForByte)
 {
   const std::string agentAddress = FreeAddress();
   RelayThread relay(agentAddress);
--- a/tests/process/soak_test.cpp
+++ b/tests/process/soak_test.cpp
@@ -15,7 +15,7 @@
 class Soak : public ::testing::TestWithParam<std::uint64_t>
 {};
 
-TEST_P(Soak, KeepsEveryPromise)
+TEST_P(Soak, HasNoViolations)
 {
   SoakSettings settings;
   settings.daemon = std::string(GOOSEBERRYSAIL_BINARY_DIR) + "/gooseberrysaild";
@@ -35,7 +35,7 @@
 
 // Guards against soaks that end without a message: three that ran in parallel ended at once when
 // the shell that had started them ended, and nothing showed which signal had ended them.
-TEST(SoakProgram, TellsWhichSignalEndedIt)
+TEST(SoakProgram, ReportsTheSignalThatEndedIt)
 {
   const test::TemporaryFolder folder;
   const std::string binaries = GOOSEBERRYSAIL_BINARY_DIR;
--- a/tests/process/thin_path_test.cpp
+++ b/tests/process/thin_path_test.cpp
@@ -19,7 +19,7 @@
 
 // Sends one request through separate processes: a caller, an entry, the agent of a head VM and its
 // engine, in a group that control formed.
-TEST(ThinPath, ServesARequestEndToEndAndTellsWhatBecameOfIt)
+TEST(ThinPath, ServesARequestEndToEndAndReportsItsOutcome)
 {
   TestCluster cluster({ .controls = 1, .entries = 1 });
   cluster.AddEngineVms("vm", 4, "fabric-a");
@@ -70,7 +70,7 @@
 // Guards against a 404 for the record of a request that another entry handled. The balancer may
 // send the request to one entry and the query for its record to another. Entries have no
 // connections with each other, so that the query must go through control.
-TEST(ThinPath, AnyEntryTellsWhatBecameOfARequest)
+TEST(ThinPath, AnyEntryReturnsTheRecordOfARequest)
 {
   TestCluster cluster({ .controls = 1, .entries = 2 });
   cluster.AddEngineVms("vm", 4, "fabric-a");
@@ -91,7 +91,7 @@
 // Guards against a replica that answers with garbage or hangs after the loss of one of its VMs. One
 // member's agent is killed while the group serves, then a request arrives. Only the heartbeats of
 // its members show the head that one is gone.
-TEST(ThinPath, AKilledMemberClosesTheGateAndTheCallerIsToldThatNothingRan)
+TEST(ThinPath, AKilledMemberStopsTheReplicaAndCallersGetNotRun)
 {
   TestCluster cluster({ .controls = 1, .entries = 1 });
   cluster.AddEngineVms("vm", 4, "fabric-a");
--- a/tests/support/golden_session.cpp
+++ b/tests/support/golden_session.cpp
@@ -116,8 +116,8 @@
   } else if (const auto* announce = body.AsAnnounce()) {
     fields("vm", announce->vm)("epoch", announce->epoch)("loadedModel", announce->loadedModel)(
       "leaving", announce->leaving);
-  } else if (const auto* asked = body.AsBeatRequest()) {
-    fields("nonce", asked->nonce)("epoch", asked->epoch);
+  } else if (const auto* request = body.AsBeatRequest()) {
+    fields("nonce", request->nonce)("epoch", request->epoch);
   } else if (const auto* beat = body.AsBeatReply()) {
     fields("nonce", beat->nonce)("vm", beat->vm)("engineAlive", beat->engineAlive)(
       "weightsLoaded", beat->weightsLoaded);
