--- a/tests/fakes/fake_model.hpp
+++ b/tests/fakes/fake_model.hpp
@@ -21,7 +21,7 @@
 
 [[nodiscard]] Result<CompletionCall> ParseCompletion(std::string_view path, std::string_view body);
 
-/// \brief The tokens of the answer, which depend on the model and the prompt alone.
+/// \brief The tokens of the answer, determined by the model, the prompt and `maxTokens`.
 [[nodiscard]] std::vector<std::string> AnswerTokens(const CompletionCall& call);
 
 [[nodiscard]] std::uint64_t PromptTokens(const CompletionCall& call);
--- a/tests/fakes/fake_target.hpp
+++ b/tests/fakes/fake_target.hpp
@@ -79,9 +79,8 @@
   std::uint32_t m_loading = 0;
   std::uint32_t m_running = 0;
   std::set<ExchangeId> m_cancelledExchanges;
-  std::map<std::string, std::uint64_t> m_runs; ///< Completions by request id.
-  std::map<std::string, std::uint64_t>
-    m_bookings; ///< Runs by idempotency key, or by body without one.
+  std::map<std::string, std::uint64_t> m_runs;     ///< Completions by request id.
+  std::map<std::string, std::uint64_t> m_bookings; ///< Runs by key, or else by body.
   std::uint64_t m_completions = 0;
   std::uint64_t m_cancelled = 0;
   std::uint64_t m_stock = 0;
--- a/tests/soak/soak.cpp
+++ b/tests/soak/soak.cpp
@@ -249,8 +249,7 @@
   Cluster m_cluster;
   std::vector<std::unique_ptr<Replica>> m_replicas;
   Clock::time_point m_start = Clock::now();
-  std::multimap<Clock::time_point, Action>
-    m_faultEnds; ///< Actions that end faults with a duration.
+  std::multimap<Clock::time_point, Action> m_faultEnds; ///< Ends of lasting faults.
   std::vector<std::string> m_faults;
   std::uint64_t m_version = 0;
   std::uint64_t m_acknowledged = 0;
--- a/tests/soak/soak.hpp
+++ b/tests/soak/soak.hpp
@@ -14,9 +14,7 @@
 {
   std::string daemon; ///< Path of the daemon's executable.
   std::uint64_t seed = 1;
-  std::chrono::milliseconds length{
-    10'000
-  }; ///< Duration of the faults, without the recovery after them.
+  std::chrono::milliseconds length{ 10'000 }; ///< Of the faults, without the recovery.
   std::size_t entries = 2;
   std::size_t replicas = 3;
   std::size_t callers = 8;
