--- a/tests/support/golden_session.cpp
+++ b/tests/support/golden_session.cpp
@@ -19,7 +19,7 @@
   std::string text = "\"";
   for (const auto byte : bytes) {
     if (byte == '\n') {
-      text += "\\n"; // A session has one line an input or output.
+      text += "\\n"; // Each input or output takes one line.
     } else {
       text += static_cast<char>(byte);
     }
@@ -116,8 +116,8 @@
   } else if (const auto* announce = body.AsAnnounce()) {
     fields("vm", announce->vm)("epoch", announce->epoch)("loadedModel", announce->loadedModel)(
       "leaving", announce->leaving);
-  } else if (const auto* asked = body.AsBeatRequest()) {
-    fields("nonce", asked->nonce)("epoch", asked->epoch);
+  } else if (const auto* request = body.AsBeatRequest()) {
+    fields("nonce", request->nonce)("epoch", request->epoch);
   } else if (const auto* beat = body.AsBeatReply()) {
     fields("nonce", beat->nonce)("vm", beat->vm)("engineAlive", beat->engineAlive)(
       "weightsLoaded", beat->weightsLoaded);
@@ -231,39 +231,39 @@
   m_text += line.str();
 }
 
-void GoldenSession::Story(std::string_view what)
+void GoldenSession::AddComment(std::string_view what)
 {
   m_text += "# ";
   m_text += what;
   m_text += '\n';
 }
 
-void GoldenSession::Came(TimePoint now, const AgentInput& input)
+void GoldenSession::RecordInput(TimePoint now, const AgentInput& input)
 {
   Line(now, "<", std::visit(Describer{}, input));
 }
 
-void GoldenSession::Left(TimePoint now, const AgentOutput& output)
+void GoldenSession::RecordOutput(TimePoint now, const AgentOutput& output)
 {
   Line(now, ">", std::visit(Describer{}, output));
 }
 
-void GoldenSession::Came(TimePoint now, std::string_view process, const AgentInput& input)
+void GoldenSession::RecordInput(TimePoint now, std::string_view process, const AgentInput& input)
 {
   Line(now, std::string(process) + " <", std::visit(Describer{}, input));
 }
 
-void GoldenSession::Left(TimePoint now, std::string_view process, const AgentOutput& output)
+void GoldenSession::RecordOutput(TimePoint now, std::string_view process, const AgentOutput& output)
 {
   Line(now, std::string(process) + " >", std::visit(Describer{}, output));
 }
 
-void GoldenSession::Came(TimePoint now, std::string_view process, const EntryInput& input)
+void GoldenSession::RecordInput(TimePoint now, std::string_view process, const EntryInput& input)
 {
   Line(now, std::string(process) + " <", std::visit(Describer{}, input));
 }
 
-void GoldenSession::Left(TimePoint now, std::string_view process, const EntryOutput& output)
+void GoldenSession::RecordOutput(TimePoint now, std::string_view process, const EntryOutput& output)
 {
   Line(now, std::string(process) + " >", std::visit(Describer{}, output));
 }
@@ -277,17 +277,17 @@
   }
   std::ifstream file(path, std::ios::binary);
   ASSERT_TRUE(file.is_open()) << path;
-  std::ostringstream wanted;
-  wanted << file.rdbuf();
-  std::istringstream wantedLines(wanted.str());
-  std::istringstream gotLines(m_text);
-  std::string wantedLine;
-  std::string gotLine;
-  for (std::size_t number = 1; std::getline(wantedLines, wantedLine); ++number) {
-    std::getline(gotLines, gotLine);
-    ASSERT_EQ(gotLine, wantedLine) << path << ':' << number;
+  std::ostringstream expected;
+  expected << file.rdbuf();
+  std::istringstream expectedLines(expected.str());
+  std::istringstream actualLines(m_text);
+  std::string expectedLine;
+  std::string actualLine;
+  for (std::size_t number = 1; std::getline(expectedLines, expectedLine); ++number) {
+    std::getline(actualLines, actualLine);
+    ASSERT_EQ(actualLine, expectedLine) << path << ':' << number;
   }
-  EXPECT_EQ(m_text, wanted.str()) << "the session goes on after the end of " << path;
+  EXPECT_EQ(m_text, expected.str()) << "the session continues after the end of " << path;
 }
 
 } // namespace gooseberrysail::test
