--- a/include/gooseberrysail/agent/gate.hpp
+++ b/include/gooseberrysail/agent/gate.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "gooseberrysail/agent/beats.hpp"
+#include "gooseberrysail/agent/heartbeats.hpp"
 #include "gooseberrysail/agent/lease.hpp"
 #include "gooseberrysail/core/time.hpp"
 
--- a/include/gooseberrysail/agent/group_system.hpp
+++ b/include/gooseberrysail/agent/group_system.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "gooseberrysail/agent/assignment.hpp"
-#include "gooseberrysail/agent/beats.hpp"
+#include "gooseberrysail/agent/heartbeats.hpp"
 #include "gooseberrysail/agent/config_client.hpp"
 #include "gooseberrysail/agent/context.hpp"
 #include "gooseberrysail/agent/control_link.hpp"
--- a/src/agent/beats.cpp
+++ b/src/agent/heartbeats.cpp
@@ -1,4 +1,4 @@
-#include "gooseberrysail/agent/beats.hpp"
+#include "gooseberrysail/agent/heartbeats.hpp"
 
 #include <algorithm>
 
