--- a/include/gooseberrysail/agent/announcer.hpp
+++ b/include/gooseberrysail/agent/announcer.hpp
@@ -9,7 +9,7 @@
 
 namespace gooseberrysail {
 
-/// \brief Tells control about the target VM: at start, on change and every few seconds.
+/// \brief Sends the target VM's state to control: at start, on change and every kInterval.
 class Announcer
 {
 public:
@@ -22,16 +22,16 @@
             bool leaving);
 
 private:
-  struct Told
+  struct AnnouncedState
   {
     GroupId group;
     Epoch epoch;
     std::string loadedModel;
     bool leaving = false;
-    friend bool operator==(const Told&, const Told&) = default;
+    friend bool operator==(const AnnouncedState&, const AnnouncedState&) = default;
   };
-  std::optional<Told> m_told;
-  TimePoint m_toldAt{};
+  std::optional<AnnouncedState> m_lastAnnounced;
+  TimePoint m_lastAnnouncedAt{};
 };
 
 } // namespace gooseberrysail
--- a/include/gooseberrysail/agent/assignment.hpp
+++ b/include/gooseberrysail/agent/assignment.hpp
@@ -9,7 +9,7 @@
 
 namespace gooseberrysail {
 
-/// \brief One VM of a group and the agent beside it.
+/// \brief One VM of a group and the agent that runs on it.
 struct AssignedMember
 {
   VmId vm;
@@ -28,29 +28,31 @@
   std::vector<AssignedMember> members;
 };
 
-/// \brief Which group this VM belongs to; refuses everything older than what it accepted.
-class GroupMembership
+/// \brief The group that this VM belongs to.
+/// \remarks Refuses assignments whose epoch is not above the highest one seen.
+class VmMembership
 {
 public:
-  explicit GroupMembership(VmId ownVm);
+  explicit VmMembership(VmId ownVm);
 
-  enum class Verdict
+  enum class AcceptResult
   {
     kAccepted,
-    kRepeated, ///< Exactly what is held already.
+    kRepeated, ///< The same group and epoch as the current assignment.
     kRefused,  ///< An epoch at or below the highest accepted one.
   };
-  [[nodiscard]] Verdict Accept(const Assignment& assignment);
+  [[nodiscard]] AcceptResult Accept(const Assignment& assignment);
 
-  enum class ReleaseVerdict
+  enum class ReleaseResult
   {
     kStarted,
     kRepeated,
-    kNotHeld, ///< This VM is not in that group; nothing is to be drained.
+    kNotHeld, ///< This VM isn't in that group; there is nothing to drain.
   };
-  /// \param graceUntil When work in flight is cut.
-  /// \remarks Also raises the highest epoch: an Assign that the Release overtook is refused.
-  [[nodiscard]] ReleaseVerdict StartRelease(GroupId group, Epoch epoch, TimePoint graceUntil);
+  /// \param graceUntil When requests that are still in flight are cut.
+  /// \remarks Also raises the highest epoch, so that an Assign that arrives after the Release of
+  /// the same epoch is refused.
+  [[nodiscard]] ReleaseResult StartRelease(GroupId group, Epoch epoch, TimePoint graceUntil);
 
   /// \brief Leaves the group at the end of a release.
   void Leave();
--- a/include/gooseberrysail/agent/config_client.hpp
+++ b/include/gooseberrysail/agent/config_client.hpp
@@ -10,16 +10,17 @@
 
 namespace gooseberrysail {
 
-/// \brief Keeps the agent's copy of the catalogue and knows when it was last confirmed.
-/// \remarks A confirmation passed on by a peer only tells that a newer version exists: how long it
-/// travelled is unknown, so it never makes our own copy count as confirmed.
+/// \brief Keeps the agent's copy of the catalogue and the time of its last confirmation.
+/// \remarks A version received from a peer only shows that a newer version exists. Its delay is
+/// unknown, so it never confirms the local copy.
 class ConfigClient
 {
 public:
-  /// An older confirmation is renewed; several questions fit into the confirmation limit. A head
-  /// that control answers gets younger ones with each lease and asks nothing.
+  /// Age at which a confirmation is renewed. Several queries fit into the confirmation limit. A
+  /// head whose reports control answers gets a confirmation with each lease grant and sends no
+  /// queries.
   static constexpr Duration kRenewAfter = std::chrono::seconds(2);
-  /// For a member whose head beats: the beats tell it of new versions.
+  /// The same for a member that receives heartbeat requests: these carry the head's version.
   static constexpr Duration kRelayedRenewAfter = std::chrono::seconds(10);
 
   explicit ConfigClient(std::function<std::uint64_t()> random);
@@ -29,14 +30,16 @@
                ControlLink& link,
                const ProcessId& from,
                const wire::ConfigStateT& state);
-  /// \brief Control proved that `version` was the newest at some moment after `askedAt`.
-  void OnConfirmed(TimePoint askedAt, LogIndex version) noexcept;
-  /// \brief Some message bore this version.
+  /// \brief Records that `version` was the newest at some moment after `querySentAt`, as control
+  /// confirmed.
+  void OnConfirmed(TimePoint querySentAt, LogIndex version) noexcept;
+  /// \brief Records a version carried by any received message.
   void OnVersionSeen(LogIndex version) noexcept;
 
-  [[nodiscard]] const Catalogue& Copy() const noexcept { return m_catalogue; }
+  [[nodiscard]] const Catalogue& LocalCatalogue() const noexcept { return m_catalogue; }
   [[nodiscard]] LogIndex Version() const noexcept { return m_catalogue.Version(); }
-  /// \brief Our copy was the newest at some moment after this; none before the first proof.
+  /// \brief The local copy was the newest at some moment after this; none before the first
+  /// confirmation.
   [[nodiscard]] std::optional<TimePoint> ConfirmedAt() const noexcept { return m_confirmedAt; }
 
 private:
@@ -49,9 +52,9 @@
   Catalogue m_catalogue;
   impl::NonceRing m_queries;
   std::optional<TimePoint> m_confirmedAt;
-  LogIndex m_seen;
-  bool m_needWhole = false;
-  LogIndex m_reported;
+  LogIndex m_latestSeen;
+  bool m_needFullState = false;
+  LogIndex m_reportedVersion;
   ProcessId m_reportedTo;
 };
 
--- a/include/gooseberrysail/agent/context.hpp
+++ b/include/gooseberrysail/agent/context.hpp
@@ -10,7 +10,7 @@
 
 namespace gooseberrysail::impl {
 
-/// \brief What every system of the agent gets at a tick: time, settings and the outbox.
+/// \brief State passed to each part of the agent at a tick: time, settings and the outbox.
 class AgentContext
 {
 public:
@@ -30,10 +30,11 @@
   [[nodiscard]] TimePoint Now() const noexcept { return m_now; }
   [[nodiscard]] const AgentSettings& Settings() const noexcept { return m_settings; }
 
-  /// \brief Every message bears our configuration version, so that a receiver behind pulls.
+  /// \brief Sets the configuration version that every message carries, so that a receiver with an
+  /// older one fetches it.
   void SetConfigVersion(LogIndex version) noexcept { m_configVersion = version; }
 
-  /// \param address "" sends only over a standing connection.
+  /// \param address With "", the message is sent only over an existing connection.
   template<class MessageT>
   void Send(const ProcessId& peer, const std::string& address, MessageT message)
   {
@@ -42,7 +43,7 @@
     m_outbox.emplace_back(FrameOut{ peer, address, std::move(envelope) });
   }
 
-  /// \brief Starts a call to the own target.
+  /// \brief Starts a call to the agent's own target.
   ExchangeId Call(std::string method,
                   std::string path,
                   std::vector<HttpHeader> headers,
--- a/include/gooseberrysail/agent/control_link.hpp
+++ b/include/gooseberrysail/agent/control_link.hpp
@@ -10,26 +10,27 @@
 
 namespace gooseberrysail {
 
-/// \brief Finds the control process that leads: whoever answered last, while it goes on answering.
+/// \brief Tracks the leading control process: the one that answered last, until it stops answering.
 class ControlLink
 {
 public:
   explicit ControlLink(std::vector<EntrySettings::Control> controls);
 
-  /// \brief Only an answer that a leader alone can give.
+  /// \brief Call it only for answers that no process other than the leader can give.
   void OnAnswer(TimePoint now, const ProcessId& control);
   void OnDown(const ProcessId& control);
-  [[nodiscard]] bool Answers(TimePoint now) const noexcept;
-  /// \brief The answering one, or all when none answers.
-  [[nodiscard]] std::span<const EntrySettings::Control> Targets(TimePoint now) const;
+  [[nodiscard]] bool HasActiveControl(TimePoint now) const noexcept;
+  /// \brief The leading control process, or all of them while none is known.
+  [[nodiscard]] std::span<const EntrySettings::Control> Recipients(TimePoint now) const;
   [[nodiscard]] bool IsControl(const ProcessId& process) const noexcept;
 
 private:
-  /// Longer than two rounds of questions, so that one lost answer doesn't start asking everybody.
-  static constexpr Duration kSilence = std::chrono::milliseconds(2500);
+  /// Longer than two query intervals, so that one lost answer doesn't cause queries to all control
+  /// processes.
+  static constexpr Duration kAnswerTimeout = std::chrono::milliseconds(2500);
 
   std::vector<EntrySettings::Control> m_controls;
-  std::optional<std::size_t> m_answering;
+  std::optional<std::size_t> m_activeControl;
   TimePoint m_answeredAt{};
 };
 
--- a/include/gooseberrysail/agent/engine_orders.hpp
+++ b/include/gooseberrysail/agent/engine_orders.hpp
@@ -9,15 +9,15 @@
 
 namespace gooseberrysail {
 
-/// \brief Gets the wanted weights into the own engine, one order at a time.
-/// \remarks Some engines ignore fencing numbers: an old order still being worked on would undo a
-/// newer one unnoticed. So no order is sent before the former one was answered, or is known dead
-/// because a probe sent after it broke off shows the engine idle.
+/// \brief Loads the desired weights into the agent's own engine, one order at a time.
+/// \remarks Some engines ignore fencing numbers, so that an older order still being executed could
+/// silently undo a newer one. An order is therefore sent only after the previous one was answered,
+/// or after a probe sent later than its failure shows the engine idle.
 class EngineOrders
 {
 public:
-  void Want(std::string model, std::string version, Epoch epoch);
-  void WantNothing();
+  void SetDesired(std::string model, std::string version, Epoch epoch);
+  void ClearDesired();
 
   void Tick(impl::AgentContext& context, const TargetProbe& probe);
   bool OnAnswer(impl::AgentContext& context, const TargetAnswerIn& answer, TargetProbe& probe);
@@ -27,7 +27,7 @@
   [[nodiscard]] bool InFlight() const noexcept { return m_order.has_value(); }
 
 private:
-  struct Wanted
+  struct DesiredModel
   {
     std::string model;
     std::string version;
@@ -36,23 +36,24 @@
   struct Order
   {
     ExchangeId exchange;
-    std::string model; ///< "": unload.
+    std::string model; ///< "" for an unload order.
     std::string version;
     Epoch epoch;
     unsigned status = 0;
   };
-  /// Weights come through a rate-limited store; a load of many minutes is no fault.
+  /// The weight store is rate-limited, so that a load may take many minutes.
   static constexpr Duration kOrderTimeout = std::chrono::minutes(30);
   static constexpr Duration kRetryAfter = std::chrono::seconds(1);
 
   void SendLoad(impl::AgentContext& context);
   void SendUnload(impl::AgentContext& context);
 
-  std::optional<Wanted> m_wanted;
+  std::optional<DesiredModel> m_desired;
   std::optional<Order> m_order;
-  /// Set while the engine may still work on an order of ours or of our predecessor.
-  std::optional<TimePoint> m_unsureSince = TimePoint{};
-  TimePoint m_notBefore{};
+  /// Set while the engine may still execute an order whose outcome is unknown. Set initially,
+  /// because an earlier incarnation of this agent may have sent one.
+  std::optional<TimePoint> m_outcomeUnknownSince = TimePoint{};
+  TimePoint m_retryAt{};
 };
 
 } // namespace gooseberrysail
--- a/include/gooseberrysail/agent/gate.hpp
+++ b/include/gooseberrysail/agent/gate.hpp
@@ -16,17 +16,17 @@
   kOpen,
   kNoGroup,
   kNotHead,
-  kLeaving,   ///< This agent or a member's was told to stop.
+  kLeaving,   ///< This agent or a member's agent is stopping.
   kReleasing, ///< The group is being dissolved.
-  kDraining,  ///< The catalogue drains a member.
+  kDraining,  ///< The catalogue marks a member as draining.
   kLeaseEnded,
   kMemberMissing,
   kWeightsNotLoaded,
-  kUnconfirmed, ///< Our configuration was not confirmed recently enough.
-  kNoEntry,     ///< The catalogue entry is not in our copy.
+  kUnconfirmed, ///< The last confirmation of the configuration is too old.
+  kNoEntry,     ///< The local catalogue doesn't contain the entry.
 };
 
-/// \brief An answer of the gate, with the member it is about.
+/// \brief State of the gate, with the member that keeps it closed, if any.
 struct GateState
 {
   GateReason reason = GateReason::kOpen;
@@ -34,32 +34,33 @@
   [[nodiscard]] bool Open() const noexcept { return reason == GateReason::kOpen; }
 };
 
-/// \brief For people: `member missing: vm-3`.
+/// \brief Human-readable reason, such as `member missing: vm-3`.
 [[nodiscard]] std::string ToString(const GateState& state);
 
-/// \brief Everything the gate looks at.
-struct GateFacts
+/// \brief All inputs of the gate decision.
+struct GateInputs
 {
-  bool grouped = false;
-  bool head = false;
+  bool hasGroup = false;
+  bool isHead = false;
   bool leaving = false;
   bool releasing = false;
   bool entryKnown = false;
   std::optional<VmId> drainingMember;
   const GroupLease* lease = nullptr;
-  std::span<const MemberBeat> beats;
+  std::span<const MemberHeartbeat> heartbeats;
   Duration memberTimeout{};
-  std::optional<TimePoint> confirmedAt; ///< Our copy was the newest at some moment after this.
+  std::optional<TimePoint> confirmedAt; ///< The local copy was the newest some time after this.
   Duration confirmationLimit{};
   bool serveUnconfirmed = false;
 };
 
-/// \brief Whether the target may be given new work at this moment.
-/// \remarks A pure function of time, called at each use: after a pause of the process it answers
-/// "closed" although no timer has run yet.
-[[nodiscard]] GateState CheckGate(TimePoint now, const GateFacts& facts);
+/// \brief Whether new requests may be sent to the target now.
+/// \remarks Evaluated from the current time at each use, so that the gate is closed after a pause
+/// of the process even before any timer has fired.
+[[nodiscard]] GateState CheckGate(TimePoint now, const GateInputs& inputs);
 
-/// \brief Whether output of running work may leave at this moment: the group is whole and ours.
-[[nodiscard]] GateState CheckWhole(TimePoint now, const GateFacts& facts);
+/// \brief Whether output of running requests may be sent now: this VM is the head, all members
+/// answer and the lease is valid.
+[[nodiscard]] GateState CheckGroupIntact(TimePoint now, const GateInputs& inputs);
 
 } // namespace gooseberrysail
--- a/include/gooseberrysail/agent/heartbeats.hpp
+++ b/include/gooseberrysail/agent/heartbeats.hpp
@@ -11,19 +11,20 @@
 
 namespace gooseberrysail {
 
-/// \brief What the head knows of one member.
-struct MemberBeat
+/// \brief What the head knows about one member.
+struct MemberHeartbeat
 {
   VmId vm;
-  std::optional<TimePoint> askedAt; ///< When the question was sent that it answered last.
+  std::optional<TimePoint> aliveAsOf; ///< When the latest request that it answered was sent.
   bool weightsLoaded = false;
-  bool leaving = false; ///< Its agent was told to stop.
+  bool leaving = false; ///< Its agent is stopping.
 };
 
 /// \brief The head's table of heartbeats for the current group epoch.
-/// \remarks A beat counts from when the head asked. Counted from its arrival, replies that waited
-/// in a buffer while this process was paused would make a dead member look alive.
-class BeatTable
+/// \remarks A reply counts from the time at which its request was sent. If it counted from its
+/// arrival, replies that were buffered while this process was paused would make a dead member look
+/// alive.
+class HeartbeatTable
 {
 public:
   static constexpr Duration kInterval = std::chrono::milliseconds(300);
@@ -32,23 +33,23 @@
   void Clear();
 
   [[nodiscard]] bool Due(TimePoint now) const noexcept;
-  void OnAsked(TimePoint now, std::uint64_t nonce);
-  /// \returns False when the nonce is not one of the latest rounds or the member is not ours.
+  void OnRequestSent(TimePoint now, std::uint64_t nonce);
+  /// \returns False when the nonce belongs to none of the latest requests or the VM is no member.
   bool OnReply(const VmId& vm,
                std::uint64_t nonce,
                bool engineAlive,
                bool weightsLoaded,
                bool leaving);
-  /// \brief The own target answered a probe sent at `askedAt`.
-  void OnOwnTarget(const VmId& vm, TimePoint askedAt, bool weightsLoaded);
+  /// \brief Records that this VM's own target answered a probe sent at `aliveAsOf`.
+  void OnOwnTarget(const VmId& vm, TimePoint aliveAsOf, bool weightsLoaded);
 
-  [[nodiscard]] std::span<const MemberBeat> Rows() const noexcept { return m_rows; }
+  [[nodiscard]] std::span<const MemberHeartbeat> Rows() const noexcept { return m_rows; }
 
 private:
-  [[nodiscard]] MemberBeat* Find(const VmId& vm) noexcept;
+  [[nodiscard]] MemberHeartbeat* Find(const VmId& vm) noexcept;
 
-  std::vector<MemberBeat> m_rows;
-  impl::NonceRing m_rounds;
+  std::vector<MemberHeartbeat> m_rows;
+  impl::NonceRing m_requests;
 };
 
 } // namespace gooseberrysail
--- a/include/gooseberrysail/agent/held_output.hpp
+++ b/include/gooseberrysail/agent/held_output.hpp
@@ -10,18 +10,18 @@
 
 namespace gooseberrysail {
 
-/// \brief The part of one answer that its entry has not acknowledged yet.
+/// \brief Buffers the part of an answer that the entry has not acknowledged yet.
 class HeldOutput
 {
 public:
   void Begin(unsigned status, std::vector<HttpHeader> headers);
   void Append(std::string_view bytes);
-  /// \param cutReason "" when the answer is whole.
+  /// \param cutReason "" when the answer is complete.
   void End(std::string cutReason);
-  /// \brief Drops everything from `offset` on, before a cut.
+  /// \brief Discards all bytes from `offset` on.
   void TruncateTo(std::uint64_t offset);
-  /// \brief Frees what lies before `offset`.
-  /// \returns How many bytes became free.
+  /// \brief Frees the bytes before `offset`.
+  /// \returns The number of bytes freed.
   std::size_t Acknowledge(std::uint64_t offset);
 
   [[nodiscard]] bool Begun() const noexcept { return m_status.has_value(); }
@@ -29,18 +29,22 @@
   [[nodiscard]] unsigned Status() const noexcept { return m_status.value_or(0); }
   [[nodiscard]] const std::vector<HttpHeader>& Headers() const noexcept { return m_headers; }
   [[nodiscard]] const std::string& CutReason() const noexcept { return m_cutReason; }
-  [[nodiscard]] std::uint64_t FirstOffset() const noexcept { return m_first; }
-  [[nodiscard]] std::uint64_t EndOffset() const noexcept { return m_first + HeldBytes(); }
-  [[nodiscard]] std::size_t HeldBytes() const noexcept { return m_bytes.size() - m_freed; }
+  [[nodiscard]] std::uint64_t FirstOffset() const noexcept { return m_firstOffset; }
+  [[nodiscard]] std::uint64_t EndOffset() const noexcept { return m_firstOffset + HeldBytes(); }
+  [[nodiscard]] std::size_t HeldBytes() const noexcept
+  {
+    return m_bytes.size() - m_acknowledgedBytes;
+  }
   /// \param offset Between FirstOffset and EndOffset.
-  [[nodiscard]] std::string_view Read(std::uint64_t offset, std::size_t most) const;
+  [[nodiscard]] std::string_view Read(std::uint64_t offset, std::size_t maxBytes) const;
 
 private:
   std::optional<unsigned> m_status;
   std::vector<HttpHeader> m_headers;
   std::string m_bytes;
-  std::size_t m_freed = 0; ///< Acknowledged bytes at the front of m_bytes, not moved out yet.
-  std::uint64_t m_first = 0;
+  std::size_t m_acknowledgedBytes =
+    0; ///< Acknowledged bytes at the front of m_bytes, not erased yet.
+  std::uint64_t m_firstOffset = 0;
   bool m_ended = false;
   std::string m_cutReason;
 };
--- a/include/gooseberrysail/agent/lease.hpp
+++ b/include/gooseberrysail/agent/lease.hpp
@@ -8,9 +8,9 @@
 
 namespace gooseberrysail {
 
-/// \brief The head's permission from control to serve as this group epoch.
-/// \remarks Counted from when the report was sent: control grants from when it answered, which is
-/// later, so the holder always stops first.
+/// \brief The head's lease from control to serve as this group epoch.
+/// \remarks The head counts the lease from the time it sent its report, control from the later time
+/// of its answer. The head's lease therefore always ends first.
 class GroupLease
 {
 public:
@@ -19,12 +19,12 @@
   void Clear();
   [[nodiscard]] bool ReportDue(TimePoint now) const noexcept;
   void OnReportSent(TimePoint now, std::uint64_t nonce);
-  /// \returns When the report of that nonce was sent; none when it is not among the latest.
+  /// \returns When the report with that nonce was sent; none when it isn't among the latest.
   [[nodiscard]] std::optional<TimePoint> SentAt(std::uint64_t nonce) const noexcept
   {
     return m_reports.SentAt(nonce);
   }
-  /// \param until The sending of the granted report plus the granted length.
+  /// \param until The time at which the report was sent plus the granted duration.
   void Extend(TimePoint until) noexcept;
   [[nodiscard]] bool Holds(TimePoint now) const noexcept { return m_until && now < *m_until; }
 
--- a/include/gooseberrysail/agent/ledger.hpp
+++ b/include/gooseberrysail/agent/ledger.hpp
@@ -13,7 +13,7 @@
 
 namespace gooseberrysail {
 
-/// \brief One try of one request.
+/// \brief One attempt of a request.
 struct AttemptKey
 {
   RequestId request;
@@ -29,52 +29,53 @@
   }
 };
 
-/// \brief What became of an attempt that is over.
-enum class Verdict : std::uint8_t
+/// \brief Outcome of a finished attempt.
+enum class AttemptOutcome : std::uint8_t
 {
-  kNeverStarted, ///< Refused or sealed; it never will.
-  kStarted,      ///< The target was given it.
+  kNeverStarted, ///< Refused or sealed; it will never start.
+  kStarted,      ///< Sent to the target.
 };
 
-/// \brief Remembers attempts that are over, bounded by time and count.
-/// \remarks What was forgotten leaves a watermark for its entry's life: at or below it nothing is
-/// claimed and nothing is started. Without it a late Seal for a forgotten run would be answered
-/// "never started", and a late Start for a forgotten seal would run after "not run" was told.
+/// \brief Outcomes of finished attempts, bounded by age and count.
+/// \remarks An evicted record raises a watermark kept for the incarnation of its entry. For
+/// requests at or below the watermark no outcome is reported and none is started. Without it, a
+/// late Seal of an evicted request that ran would be answered "never started", and a late Start of
+/// an evicted sealed request would run after its client was told "not run".
 class RequestLedger
 {
 public:
   struct Bounds
   {
-    std::size_t lines = 20000;
-    Duration keepFor = std::chrono::minutes(10);
-    std::size_t origins = 256;
+    std::size_t maxRecords = 20000;
+    Duration retention = std::chrono::minutes(10);
+    std::size_t maxOrigins = 256;
   };
 
   RequestLedger();
   explicit RequestLedger(Bounds bounds);
 
-  void Note(TimePoint now, const AttemptKey& key, Verdict verdict);
-  [[nodiscard]] std::optional<Verdict> Find(const AttemptKey& key) const;
-  /// \brief Whether a line of this request may have been dropped.
-  [[nodiscard]] bool MayHaveForgotten(const RequestId& request) const;
-  /// \brief Drops what is too old.
+  void Record(TimePoint now, const AttemptKey& key, AttemptOutcome outcome);
+  [[nodiscard]] std::optional<AttemptOutcome> Find(const AttemptKey& key) const;
+  /// \brief Whether a record of this request may have been evicted.
+  [[nodiscard]] bool MayHaveEvicted(const RequestId& request) const;
+  /// \brief Evicts records older than the retention time.
   void Expire(TimePoint now);
-  [[nodiscard]] std::size_t Size() const noexcept { return m_lines.size(); }
+  [[nodiscard]] std::size_t Size() const noexcept { return m_records.size(); }
 
 private:
-  struct Age
+  struct RecordedKey
   {
-    TimePoint notedAt;
+    TimePoint recordedAt;
     AttemptKey key;
   };
   void DropOldest();
 
   Bounds m_bounds;
-  std::unordered_map<AttemptKey, Verdict, AttemptKeyHash> m_lines;
-  std::deque<Age> m_order;
-  /// Highest forgotten sequence of each entry life ("entry-1.17").
+  std::unordered_map<AttemptKey, AttemptOutcome, AttemptKeyHash> m_records;
+  std::deque<RecordedKey> m_recordedKeys;
+  /// Highest evicted sequence number of each entry incarnation ("entry-1.17").
   std::map<std::string, std::uint64_t, std::less<>> m_watermarks;
-  bool m_originsForgotten = false;
+  bool m_unknownOriginsEvicted = false;
 };
 
 } // namespace gooseberrysail
--- a/include/gooseberrysail/agent/load_reports.hpp
+++ b/include/gooseberrysail/agent/load_reports.hpp
@@ -10,7 +10,7 @@
 
 namespace gooseberrysail {
 
-/// \brief What a head tells entries of its load.
+/// \brief A group's load, as its head reports it to entries.
 struct GroupLoad
 {
   GroupId group;
@@ -21,30 +21,30 @@
   bool open = false;
   bool leaving = false;
   double tokensPerSecond = 0;
-  Duration age{}; ///< Of what the engine said.
+  Duration age{}; ///< Age of the engine's status.
 };
 
-/// \brief Tells the entries that sent work lately how loaded the group is.
+/// \brief Reports the group's load to the entries that recently sent requests.
 class LoadReports
 {
 public:
   static constexpr Duration kInterval = std::chrono::milliseconds(250);
   static constexpr Duration kUnchangedInterval = std::chrono::seconds(2);
-  /// Entries that sent nothing for this long hear no more; their view is stale anyway.
-  static constexpr Duration kInterest = std::chrono::seconds(30);
+  /// An entry that sent no request for this long gets no more reports.
+  static constexpr Duration kActivityTimeout = std::chrono::seconds(30);
 
-  void OnWork(TimePoint now, const ProcessId& entry);
+  void OnRequest(TimePoint now, const ProcessId& entry);
   void OnDown(const ProcessId& entry);
   void Tick(impl::AgentContext& context, const GroupLoad& load);
-  /// \brief Entries that sent work lately.
-  [[nodiscard]] std::vector<ProcessId> Interested() const;
+  /// \brief Entries that recently sent requests.
+  [[nodiscard]] std::vector<ProcessId> ActiveEntries() const;
 
 private:
   struct Row
   {
     TimePoint lastWork;
     std::optional<TimePoint> lastReport;
-    GroupLoad told;
+    GroupLoad lastLoad;
   };
   [[nodiscard]] static bool Due(TimePoint now, const Row& row, const GroupLoad& load);
 
--- a/include/gooseberrysail/agent/request_system.hpp
+++ b/include/gooseberrysail/agent/request_system.hpp
@@ -14,34 +14,36 @@
 
 namespace gooseberrysail {
 
-/// \brief How much work the catalogue lets one group take.
+/// \brief The catalogue's limits on the requests of one group.
 struct RequestLimits
 {
   std::uint32_t maxConcurrent = 0;
   std::uint32_t maxQueued = 0;
 };
 
-/// \brief What the request system must know of the group, asked at each use.
+/// \brief Queries about the group, evaluated at each use.
 struct RequestHooks
 {
-  std::function<GateState(TimePoint)> gate;  ///< For new work.
-  std::function<GateState(TimePoint)> whole; ///< For output of running work.
+  std::function<GateState(TimePoint)> gate;        ///< For new requests.
+  std::function<GateState(TimePoint)> groupIntact; ///< For output of running requests.
   std::function<bool(GroupId, Epoch)> holds;
   std::function<RequestLimits()> limits;
 };
 
-/// \brief Requests on this target: started at most once, answered whole or cut with a reason.
+/// \brief Requests on this target. Each is started at most once, and is either answered completely
+/// or cut with a reason.
 class RequestSystem
 {
 public:
-  /// How long answers are kept for an entry that does not return.
-  static constexpr Duration kHoldFor = std::chrono::seconds(60);
-  /// How long past its deadline a call that must not be repeated may still end.
+  /// How long answers are kept for an entry that doesn't reconnect.
+  static constexpr Duration kOutputRetention = std::chrono::seconds(60);
+  /// How long after its deadline a call that must not be repeated may still complete.
   static constexpr Duration kOverdueLimit = std::chrono::minutes(5);
-  /// How long output is withheld while the group isn't whole, before the requests are cut.
+  /// How long output is withheld while the group isn't intact, before the requests are cut.
   static constexpr Duration kWithholdGrace = std::chrono::seconds(3);
-  /// How long queued requests wait for the gate before they are refused and routed elsewhere.
-  static constexpr Duration kQueuePatience = std::chrono::milliseconds(500);
+  /// How long queued requests wait for a closed gate before they are refused, so that their entries
+  /// can send them to another group.
+  static constexpr Duration kQueueGateTimeout = std::chrono::milliseconds(500);
 
   RequestSystem(Incarnation incarnation, std::size_t maxHeldBytes, RequestHooks hooks);
 
@@ -54,13 +56,13 @@
   void OnCancel(impl::AgentContext& context, const FrameIn& frame, const wire::CancelT& cancel);
   void OnAck(impl::AgentContext& context, const FrameIn& frame, const wire::AckT& ack);
 
-  /// \returns True when the exchange was a request's.
+  /// \returns True when the exchange belongs to a request.
   bool OnAnswer(impl::AgentContext& context, const TargetAnswerIn& answer);
   bool OnFailed(impl::AgentContext& context, const TargetFailedIn& failure);
 
-  /// \brief Deadlines, withheld output, queued work and what is held too long.
+  /// \brief Handles deadlines, withheld output, queued requests and expired answers.
   void Tick(impl::AgentContext& context);
-  /// \brief The group is no longer ours: cuts what runs, refuses what waits.
+  /// \brief Cuts running requests and refuses queued ones, when this VM leaves the group.
   void EndAll(impl::AgentContext& context, const std::string& reason);
 
   [[nodiscard]] std::uint32_t Running() const noexcept { return m_running; }
@@ -69,7 +71,7 @@
     return static_cast<std::uint32_t>(m_queue.Size());
   }
   [[nodiscard]] std::size_t HeldBytes() const noexcept { return m_heldBytes; }
-  /// \brief Every answer was handed over.
+  /// \brief Whether no request is queued, running or waiting for its acknowledgement.
   [[nodiscard]] bool Idle() const noexcept { return m_attempts.empty(); }
 
 private:
@@ -79,7 +81,7 @@
     kRunning,
     kEnded,
   };
-  /// What only a request still waiting for its start needs.
+  /// The target call of a request that has not started.
   struct Call
   {
     std::string method;
@@ -98,15 +100,15 @@
     bool connected = true;
     std::optional<Call> call;
     std::optional<TimePoint> deadline;
-    std::optional<TimePoint> lostAt; ///< When the entry's connection went down.
+    std::optional<TimePoint> disconnectedAt; ///< When the entry's connection went down.
     TimePoint startedAt{};
     TimePoint lastContact{};
     ExchangeId exchange;
     HeldOutput output;
-    /// Output before this offset arrived, or was waited for, while the group was whole.
-    std::uint64_t cleared = 0;
-    bool endCleared = false;
-    std::uint64_t sent = 0; ///< Offset up to which output went out on the current connection.
+    /// Output before this offset may be sent: the group was intact after the target produced it.
+    std::uint64_t deliverableEnd = 0;
+    bool endDeliverable = false;
+    std::uint64_t sent = 0; ///< Offset up to which output was sent on the current connection.
     bool headSent = false;
     bool endSent = false;
   };
@@ -117,11 +119,11 @@
                const FrameIn& frame,
                const wire::StartT& start,
                const AttemptKey& key);
-  void AnswerKnown(impl::AgentContext& context, const ProcessId& peer, const AttemptKey& key);
-  [[nodiscard]] wire::SealResult SealOwn(TimePoint now, const AttemptKey& key);
+  void AnswerFinished(impl::AgentContext& context, const ProcessId& peer, const AttemptKey& key);
+  [[nodiscard]] wire::SealResult SealAttempt(TimePoint now, const AttemptKey& key);
   void SendUnknown(impl::AgentContext& context, const ProcessId& peer, const AttemptKey& key);
-  bool MakeRoom(impl::AgentContext& context, std::uint8_t priority);
-  void StartWaiting(impl::AgentContext& context);
+  bool MakeQueueRoom(impl::AgentContext& context, std::uint8_t priority);
+  void StartQueued(impl::AgentContext& context);
   void Run(impl::AgentContext& context, const AttemptKey& key, Attempt& attempt);
   void SendRefused(impl::AgentContext& context,
                    const ProcessId& peer,
@@ -147,7 +149,7 @@
   void Remove(impl::AgentContext& context, Table::iterator row);
 
   // Delivering.
-  void Clear(TimePoint now, Attempt& attempt);
+  void MarkDeliverable(TimePoint now, Attempt& attempt);
   void Replay(impl::AgentContext& context,
               const AttemptKey& key,
               Attempt& attempt,
@@ -158,13 +160,15 @@
                      const AttemptKey& key,
                      std::uint64_t offset,
                      const std::string& reason);
-  void KeepWithinBound(impl::AgentContext& context);
+  void EnforceHeldLimit(impl::AgentContext& context);
   void DropHeld(Attempt& attempt);
 
   // Sweeping.
   void SweepGate(impl::AgentContext& context);
   void SweepAttempts(impl::AgentContext& context);
-  [[nodiscard]] bool SweepOne(impl::AgentContext& context, const AttemptKey& key, Attempt& attempt);
+  [[nodiscard]] bool SweepAttempt(impl::AgentContext& context,
+                                  const AttemptKey& key,
+                                  Attempt& attempt);
 
   Incarnation m_incarnation;
   std::size_t m_maxHeldBytes;
@@ -175,9 +179,9 @@
   StartQueue m_queue;
   std::uint32_t m_running = 0;
   std::size_t m_heldBytes = 0;
-  double m_serviceMillis = 0; ///< Moving mean of how long a request runs.
-  std::optional<TimePoint> m_brokenSince;
-  std::optional<TimePoint> m_closedSince;
+  double m_meanServiceMillis = 0; ///< Exponential moving average of the run time of requests.
+  std::optional<TimePoint> m_groupBrokenSince;
+  std::optional<TimePoint> m_gateClosedSince;
   std::optional<TimePoint> m_lastSweep;
 };
 
--- a/src/agent/agent_role.cpp
+++ b/src/agent/agent_role.cpp
@@ -16,10 +16,11 @@
 
 namespace {
 
-/// How long a stopping agent, idle itself, waits for control to release its group.
-constexpr Duration kStopPatience = std::chrono::seconds(30);
-/// The same while its head still counts on it, perhaps for a long answer.
-constexpr Duration kStopPatienceHeard = std::chrono::minutes(15);
+/// How long a stopping agent without requests waits for control to release its group.
+constexpr Duration kReleaseTimeout = std::chrono::seconds(30);
+/// The same for a member whose head still sends heartbeat requests; the head may be streaming a
+/// long answer.
+constexpr Duration kReleaseTimeoutWithActiveHead = std::chrono::minutes(15);
 
 } // namespace
 
@@ -30,25 +31,25 @@
     , hooks(std::move(initialHooks))
     , link(settings.controls)
     , config(hooks.random)
-    , group(settings, GroupSystem::Parts{ link, config, probe, orders }, hooks.random)
-    , requests(
-        settings.incarnation,
-        settings.maxHeldOutputBytes,
-        RequestHooks{ [this](TimePoint now) { return group.Gate(now); },
-                      [this](TimePoint now) { return group.Whole(now); },
-                      [this](GroupId id, Epoch epoch) { return group.Members().Holds(id, epoch); },
-                      [this] { return group.Limits(); } })
+    , group(settings, GroupSystem::Dependencies{ link, config, probe, orders }, hooks.random)
+    , requests(settings.incarnation,
+               settings.maxHeldOutputBytes,
+               RequestHooks{
+                 [this](TimePoint now) { return group.Gate(now); },
+                 [this](TimePoint now) { return group.GroupIntact(now); },
+                 [this](GroupId id, Epoch epoch) { return group.Membership().Holds(id, epoch); },
+                 [this] { return group.Limits(); } })
   {
   }
 
-  void Take(impl::AgentContext& context, const PeerUp& up);
-  void Take(impl::AgentContext& context, const PeerDown& down);
-  void Take(impl::AgentContext& context, const FrameIn& frame);
-  void Take(impl::AgentContext& context, const TargetAnswerIn& answer);
-  void Take(impl::AgentContext& context, const TargetFailedIn& failure);
-  void Take(impl::AgentContext& context, const StopRequested&);
-  void TakeGroupFrame(impl::AgentContext& context, const FrameIn& frame);
-  void TakeRequestFrame(impl::AgentContext& context, const FrameIn& frame);
+  void Handle(impl::AgentContext& context, const PeerUp& up);
+  void Handle(impl::AgentContext& context, const PeerDown& down);
+  void Handle(impl::AgentContext& context, const FrameIn& frame);
+  void Handle(impl::AgentContext& context, const TargetAnswerIn& answer);
+  void Handle(impl::AgentContext& context, const TargetFailedIn& failure);
+  void Handle(impl::AgentContext& context, const StopRequested&);
+  void HandleGroupFrame(impl::AgentContext& context, const FrameIn& frame);
+  void HandleRequestFrame(impl::AgentContext& context, const FrameIn& frame);
   void RunSystems(impl::AgentContext& context);
   void ReportLoad(impl::AgentContext& context);
   void AdvanceStop(impl::AgentContext& context);
@@ -74,29 +75,29 @@
   std::optional<TimePoint> idleSince;
 };
 
-void AgentRole::Impl::Take(impl::AgentContext& context, const PeerUp& up)
+void AgentRole::Impl::Handle(impl::AgentContext& context, const PeerUp& up)
 {
   requests.OnPeerUp(context, up.peer, up.incarnation);
 }
 
-void AgentRole::Impl::Take(impl::AgentContext& context, const PeerDown& down)
+void AgentRole::Impl::Handle(impl::AgentContext& context, const PeerDown& down)
 {
   requests.OnPeerDown(context, down.peer);
   loadReports.OnDown(down.peer);
   link.OnDown(down.peer);
 }
 
-void AgentRole::Impl::Take(impl::AgentContext& context, const FrameIn& frame)
+void AgentRole::Impl::Handle(impl::AgentContext& context, const FrameIn& frame)
 {
   if (!frame.envelope) {
     return;
   }
   config.OnVersionSeen(LogIndex(frame.envelope->version));
-  TakeGroupFrame(context, frame);
-  TakeRequestFrame(context, frame);
+  HandleGroupFrame(context, frame);
+  HandleRequestFrame(context, frame);
 }
 
-void AgentRole::Impl::TakeGroupFrame(impl::AgentContext& context, const FrameIn& frame)
+void AgentRole::Impl::HandleGroupFrame(impl::AgentContext& context, const FrameIn& frame)
 {
   const auto& body = frame.envelope->body;
   if (const auto* beatRequest = body.AsBeatRequest()) {
@@ -104,7 +105,7 @@
   } else if (const auto* beatReply = body.AsBeatReply()) {
     group.OnBeatReply(*beatReply);
   } else if (!link.IsControl(frame.peer)) {
-    return; // What follows only a configured control may say.
+    return; // The remaining messages are accepted only from configured control processes.
   } else if (const auto* state = body.AsConfigState()) {
     config.OnState(context, link, frame.peer, *state);
   } else if (const auto* assign = body.AsAssign()) {
@@ -116,16 +117,16 @@
   }
 }
 
-void AgentRole::Impl::TakeRequestFrame(impl::AgentContext& context, const FrameIn& frame)
+void AgentRole::Impl::HandleRequestFrame(impl::AgentContext& context, const FrameIn& frame)
 {
   const auto& body = frame.envelope->body;
   if (const auto* start = body.AsStart()) {
-    loadReports.OnWork(context.Now(), frame.peer);
+    loadReports.OnRequest(context.Now(), frame.peer);
     requests.OnStart(context, frame, *start);
   } else if (const auto* seal = body.AsSeal()) {
     requests.OnSeal(context, frame, *seal);
   } else if (const auto* resume = body.AsResume()) {
-    loadReports.OnWork(context.Now(), frame.peer);
+    loadReports.OnRequest(context.Now(), frame.peer);
     requests.OnResume(context, frame, *resume);
   } else if (const auto* cancel = body.AsCancel()) {
     requests.OnCancel(context, frame, *cancel);
@@ -134,17 +135,17 @@
   }
 }
 
-void AgentRole::Impl::Take(impl::AgentContext& context, const TargetAnswerIn& answer)
+void AgentRole::Impl::Handle(impl::AgentContext& context, const TargetAnswerIn& answer)
 {
   if (probe.OnAnswer(answer) || orders.OnAnswer(context, answer, probe)) {
     return;
   }
-  if (!cacheFeed.OnAnswer(context, answer, lastGroup, loadReports.Interested())) {
+  if (!cacheFeed.OnAnswer(context, answer, lastGroup, loadReports.ActiveEntries())) {
     requests.OnAnswer(context, answer);
   }
 }
 
-void AgentRole::Impl::Take(impl::AgentContext& context, const TargetFailedIn& failure)
+void AgentRole::Impl::Handle(impl::AgentContext& context, const TargetFailedIn& failure)
 {
   if (!probe.OnFailed(failure) && !orders.OnFailed(context, failure) &&
       !cacheFeed.OnFailed(failure)) {
@@ -152,12 +153,12 @@
   }
 }
 
-void AgentRole::Impl::Take(impl::AgentContext& context, const StopRequested&)
+void AgentRole::Impl::Handle(impl::AgentContext& context, const StopRequested&)
 {
   if (std::exchange(leaving, true)) {
     return;
   }
-  // The gate first: whoever hears of the leaving may already count on it.
+  // Close the gate first: peers informed of the shutdown may rely on it.
   group.SetLeaving();
   context.Emit(EventNumber::kAgentLeaving,
                { { "inFlight", std::to_string(requests.Running() + requests.Queued()) } });
@@ -166,7 +167,7 @@
 Duration AgentRole::Impl::ConfigRenewAfter(TimePoint now) const
 {
   const bool relayed =
-    group.Members().Current() && !group.Members().IsHead() && group.HearsHead(now);
+    group.Membership().Current() && !group.Membership().IsHead() && group.AnsweredHeadRecently(now);
   return relayed ? ConfigClient::kRelayedRenewAfter : ConfigClient::kRenewAfter;
 }
 
@@ -186,16 +187,16 @@
   orders.Tick(context, probe);
   group.Tick(context, requests);
   requests.Tick(context);
-  announcer.Tick(context, link, group.Members().Current(), LoadedModel(), leaving);
+  announcer.Tick(context, link, group.Membership().Current(), LoadedModel(), leaving);
   ReportLoad(context);
-  const bool feeding = settings.kind == wire::TargetKind::Engine && group.Members().IsHead();
-  cacheFeed.Tick(context, feeding && !loadReports.Interested().empty());
+  const bool feeding = settings.kind == wire::TargetKind::Engine && group.Membership().IsHead();
+  cacheFeed.Tick(context, feeding && !loadReports.ActiveEntries().empty());
   AdvanceStop(context);
 }
 
 void AgentRole::Impl::ReportLoad(impl::AgentContext& context)
 {
-  if (const auto& assignment = group.Members().Current()) {
+  if (const auto& assignment = group.Membership().Current()) {
     if (lastGroup != assignment->group) {
       cacheFeed.Reset();
     }
@@ -212,7 +213,7 @@
   load.open = gate.Open();
   load.leaving = gate.reason == GateReason::kLeaving || gate.reason == GateReason::kReleasing ||
                  gate.reason == GateReason::kDraining || gate.reason == GateReason::kNoGroup;
-  load.age = status.aliveAskedAt ? context.Now() - *status.aliveAskedAt : Duration{};
+  load.age = status.aliveAsOf ? context.Now() - *status.aliveAsOf : Duration{};
   loadReports.Tick(context, load);
 }
 
@@ -226,11 +227,12 @@
     return;
   }
   idleSince = idleSince.value_or(context.Now());
-  const bool released = !group.Members().Current().has_value();
-  // A member that left while its head finishes an answer would cut that answer.
-  const bool counted = !group.Members().IsHead() && group.HearsHead(context.Now());
-  const Duration patience = counted ? kStopPatienceHeard : kStopPatience;
-  if (!released && context.Now() - *idleSince < patience) {
+  const bool released = !group.Membership().Current().has_value();
+  // If a member left while its head still streams an answer, that answer would be cut.
+  const bool neededByHead =
+    !group.Membership().IsHead() && group.AnsweredHeadRecently(context.Now());
+  const Duration timeout = neededByHead ? kReleaseTimeoutWithActiveHead : kReleaseTimeout;
+  if (!released && context.Now() - *idleSince < timeout) {
     return;
   }
   if (!released) {
@@ -254,7 +256,7 @@
   impl::AgentContext context(
     now, m_impl->settings, outbox, m_impl->lastExchange, m_impl->config.Version());
   for (const AgentInput& input : inbox) {
-    std::visit([this, &context](const auto& each) { m_impl->Take(context, each); }, input);
+    std::visit([this, &context](const auto& each) { m_impl->Handle(context, each); }, input);
   }
   m_impl->RunSystems(context);
 }
--- a/src/agent/announcer.cpp
+++ b/src/agent/announcer.cpp
@@ -10,11 +10,11 @@
                      const std::string& loadedModel,
                      bool leaving)
 {
-  Told now{ assignment ? assignment->group : GroupId(),
-            assignment ? assignment->epoch : Epoch(),
-            loadedModel,
-            leaving };
-  if (m_told == now && context.Now() - m_toldAt < kInterval) {
+  AnnouncedState current{ assignment ? assignment->group : GroupId(),
+                          assignment ? assignment->epoch : Epoch(),
+                          loadedModel,
+                          leaving };
+  if (m_lastAnnounced == current && context.Now() - m_lastAnnouncedAt < kInterval) {
     return;
   }
   const AgentSettings& settings = context.Settings();
@@ -26,15 +26,15 @@
   announce.failureDomain = settings.failureDomain.Get();
   announce.fabricDomain = settings.fabricDomain.Get();
   announce.accelerators = settings.accelerators;
-  announce.loadedModel = now.loadedModel;
-  announce.group = now.group.Get();
-  announce.epoch = now.epoch.Get();
-  announce.leaving = now.leaving;
-  for (const auto& control : link.Targets(context.Now())) {
+  announce.loadedModel = current.loadedModel;
+  announce.group = current.group.Get();
+  announce.epoch = current.epoch.Get();
+  announce.leaving = current.leaving;
+  for (const auto& control : link.Recipients(context.Now())) {
     context.Send(control.process, control.address, announce);
   }
-  m_told = std::move(now);
-  m_toldAt = context.Now();
+  m_lastAnnounced = std::move(current);
+  m_lastAnnouncedAt = context.Now();
 }
 
 } // namespace gooseberrysail
--- a/src/agent/assignment.cpp
+++ b/src/agent/assignment.cpp
@@ -5,54 +5,54 @@
 
 namespace gooseberrysail {
 
-GroupMembership::GroupMembership(VmId ownVm)
+VmMembership::VmMembership(VmId ownVm)
   : m_ownVm(std::move(ownVm))
 {
 }
 
-GroupMembership::Verdict GroupMembership::Accept(const Assignment& assignment)
+VmMembership::AcceptResult VmMembership::Accept(const Assignment& assignment)
 {
   if (Holds(assignment.group, assignment.epoch)) {
-    return Verdict::kRepeated;
+    return AcceptResult::kRepeated;
   }
   if (assignment.epoch <= m_highestEpoch) {
-    return Verdict::kRefused;
+    return AcceptResult::kRefused;
   }
   m_highestEpoch = assignment.epoch;
   m_current = assignment;
   m_graceUntil.reset();
-  return Verdict::kAccepted;
+  return AcceptResult::kAccepted;
 }
 
-GroupMembership::ReleaseVerdict GroupMembership::StartRelease(GroupId group,
-                                                              Epoch epoch,
-                                                              TimePoint graceUntil)
+VmMembership::ReleaseResult VmMembership::StartRelease(GroupId group,
+                                                       Epoch epoch,
+                                                       TimePoint graceUntil)
 {
   m_highestEpoch = std::max(m_highestEpoch, epoch);
-  // A release also ends older epochs of the same group: whoever sent it has seen those end.
+  // A release also covers older epochs of the same group: its sender has seen those end.
   if (!m_current || m_current->group != group || m_current->epoch > epoch) {
-    return ReleaseVerdict::kNotHeld;
+    return ReleaseResult::kNotHeld;
   }
   if (m_graceUntil) {
     m_graceUntil = std::min(*m_graceUntil, graceUntil);
-    return ReleaseVerdict::kRepeated;
+    return ReleaseResult::kRepeated;
   }
   m_graceUntil = graceUntil;
-  return ReleaseVerdict::kStarted;
+  return ReleaseResult::kStarted;
 }
 
-void GroupMembership::Leave()
+void VmMembership::Leave()
 {
   m_current.reset();
   m_graceUntil.reset();
 }
 
-bool GroupMembership::Holds(GroupId group, Epoch epoch) const noexcept
+bool VmMembership::Holds(GroupId group, Epoch epoch) const noexcept
 {
   return m_current && m_current->group == group && m_current->epoch == epoch;
 }
 
-bool GroupMembership::IsHead() const noexcept
+bool VmMembership::IsHead() const noexcept
 {
   return m_current && m_current->head == m_ownVm;
 }
--- a/src/agent/cache_feed.cpp
+++ b/src/agent/cache_feed.cpp
@@ -27,14 +27,14 @@
   m_resetDue = true;
 }
 
-void CacheFeed::Tick(impl::AgentContext& context, bool wanted)
+void CacheFeed::Tick(impl::AgentContext& context, bool enabled)
 {
-  if (!wanted || m_exchange || context.Now() < m_notBefore) {
+  if (!enabled || m_exchange || context.Now() < m_nextPollAt) {
     return;
   }
-  m_exchange =
-    context.Call("GET", "/cache_events?after=" + std::to_string(m_seen), {}, "", kTimeout);
-  m_notBefore = context.Now() + kInterval;
+  m_exchange = context.Call(
+    "GET", "/cache_events?after=" + std::to_string(m_latestSequence), {}, "", kTimeout);
+  m_nextPollAt = context.Now() + kInterval;
   m_status = 0;
   m_body.clear();
 }
@@ -56,9 +56,9 @@
   }
   m_exchange.reset();
   if (m_status == kHttpOk) {
-    Read(context, group, entries);
+    ParseEvents(context, group, entries);
   } else {
-    m_notBefore = context.Now() + kAbsentInterval;
+    m_nextPollAt = context.Now() + kUnsupportedInterval;
   }
   return true;
 }
@@ -72,9 +72,9 @@
   return true;
 }
 
-void CacheFeed::Read(impl::AgentContext& context,
-                     GroupId group,
-                     const std::vector<ProcessId>& entries)
+void CacheFeed::ParseEvents(impl::AgentContext& context,
+                            GroupId group,
+                            const std::vector<ProcessId>& entries)
 {
   boost::system::error_code failed;
   const boost::json::value parsed = boost::json::parse(m_body, failed);
@@ -83,10 +83,10 @@
   if (events == nullptr || !events->is_array()) {
     return;
   }
-  const std::uint64_t latest = Number(*object, "latest").value_or(m_seen);
-  // Numbers that went back mean that the engine began anew, with an empty cache.
-  if (latest < m_seen) {
-    m_seen = 0;
+  const std::uint64_t latest = Number(*object, "latest").value_or(m_latestSequence);
+  // A lower sequence number means that the engine restarted with an empty cache.
+  if (latest < m_latestSequence) {
+    m_latestSequence = 0;
     m_resetDue = true;
     return;
   }
@@ -98,11 +98,11 @@
     const auto* event = each.if_object();
     const auto sequence = event != nullptr ? Number(*event, "sequence") : std::nullopt;
     const auto block = event != nullptr ? Number(*event, "block") : std::nullopt;
-    if (!sequence || !block || *sequence <= m_seen) {
+    if (!sequence || !block || *sequence <= m_latestSequence) {
       continue;
     }
-    gap = gap || *sequence > m_seen + 1;
-    m_seen = *sequence;
+    gap = gap || *sequence > m_latestSequence + 1;
+    m_latestSequence = *sequence;
     const auto* kind = event->if_contains("kind");
     const bool removed = kind != nullptr && *kind == "removed";
     (removed ? report.removed : report.added).push_back(*block);
@@ -110,9 +110,10 @@
   if (report.added.empty() && report.removed.empty() && !report.reset) {
     return;
   }
-  // Entries trust older records less after a gap; the lost events may have been removals.
-  m_reported += gap ? 2 : 1;
-  report.sequence = m_reported;
+  // A skipped number shows entries the gap: lost events may have been removals, so that they
+  // rely less on older records.
+  m_reportSequence += gap ? 2 : 1;
+  report.sequence = m_reportSequence;
   m_resetDue = false;
   for (const ProcessId& entry : entries) {
     context.Send(entry, "", report);
--- a/src/agent/config_client.cpp
+++ b/src/agent/config_client.cpp
@@ -12,32 +12,32 @@
 
 void ConfigClient::OnVersionSeen(LogIndex version) noexcept
 {
-  m_seen = std::max(m_seen, version);
+  m_latestSeen = std::max(m_latestSeen, version);
 }
 
-void ConfigClient::OnConfirmed(TimePoint askedAt, LogIndex version) noexcept
+void ConfigClient::OnConfirmed(TimePoint querySentAt, LogIndex version) noexcept
 {
   OnVersionSeen(version);
   if (Version() >= version && !Version().IsNone()) {
-    m_confirmedAt = std::max(m_confirmedAt.value_or(askedAt), askedAt);
+    m_confirmedAt = std::max(m_confirmedAt.value_or(querySentAt), querySentAt);
   }
 }
 
 void ConfigClient::Tick(impl::AgentContext& context, const ControlLink& link, Duration renewAfter)
 {
   const TimePoint now = context.Now();
-  const bool behind = m_seen > Version() || m_needWhole;
+  const bool behind = m_latestSeen > Version() || m_needFullState;
   const bool due = behind || !m_confirmedAt || now - *m_confirmedAt >= renewAfter;
-  // While no control answers, all of them are asked: that must stay rare.
-  const bool hurry = behind && link.Answers(now);
-  if (!due || !m_queries.Due(now, hurry ? kCatchUpInterval : kAskInterval)) {
+  // While no control process answers, queries go to all of them and are sent at the lower rate.
+  const bool catchingUp = behind && link.HasActiveControl(now);
+  if (!due || !m_queries.Due(now, catchingUp ? kCatchUpInterval : kAskInterval)) {
     return;
   }
   wire::ConfigQueryT query;
   query.nonce = m_random();
-  query.haveVersion = m_needWhole ? 0 : Version().Get();
+  query.haveVersion = m_needFullState ? 0 : Version().Get();
   m_queries.OnSent(now, query.nonce);
-  for (const auto& control : link.Targets(now)) {
+  for (const auto& control : link.Recipients(now)) {
     context.Send(control.process, control.address, query);
   }
 }
@@ -47,24 +47,24 @@
                            const ProcessId& from,
                            const wire::ConfigStateT& state)
 {
-  // Committed changes are true whoever tells them, so an unasked one is taken in too; it only
-  // confirms nothing.
+  // Committed changes are valid whatever their source, so that unsolicited ones are applied too;
+  // they don't confirm the version.
   const auto sentAt = m_queries.SentAt(state.nonce);
   OnVersionSeen(LogIndex(state.version));
-  const Result<bool> moved = m_catalogue.Apply(state);
+  const Result<bool> applied = m_catalogue.Apply(state);
   if (sentAt) {
     link.OnAnswer(context.Now(), from);
   }
-  if (!moved) {
-    // With changes missing in between, only the whole copy helps.
-    m_needWhole = sentAt.has_value();
-    if (m_needWhole) {
+  if (!applied) {
+    // Intermediate changes are missing, so that the full state must be requested.
+    m_needFullState = sentAt.has_value();
+    if (m_needFullState) {
       context.Emit(EventNumber::kAgentConfigRefused,
-                   { { "peer", from.Get() }, { "error", ToString(moved.error()) } });
+                   { { "peer", from.Get() }, { "error", ToString(applied.error()) } });
     }
     return;
   }
-  m_needWhole = false;
+  m_needFullState = false;
   context.SetConfigVersion(Version());
   if (sentAt) {
     OnConfirmed(*sentAt, LogIndex(state.version));
@@ -74,10 +74,10 @@
 
 void ConfigClient::ReportInForce(impl::AgentContext& context, const ProcessId& control)
 {
-  if (Version() == m_reported && control == m_reportedTo) {
+  if (Version() == m_reportedVersion && control == m_reportedTo) {
     return;
   }
-  m_reported = Version();
+  m_reportedVersion = Version();
   m_reportedTo = control;
   wire::InForceT inForce;
   inForce.version = Version().Get();
--- a/src/agent/control_link.cpp
+++ b/src/agent/control_link.cpp
@@ -14,7 +14,7 @@
 {
   for (std::size_t index = 0; index < m_controls.size(); ++index) {
     if (m_controls[index].process == control) {
-      m_answering = index;
+      m_activeControl = index;
       m_answeredAt = now;
     }
   }
@@ -22,20 +22,20 @@
 
 void ControlLink::OnDown(const ProcessId& control)
 {
-  if (m_answering && m_controls[*m_answering].process == control) {
-    m_answering.reset();
+  if (m_activeControl && m_controls[*m_activeControl].process == control) {
+    m_activeControl.reset();
   }
 }
 
-bool ControlLink::Answers(TimePoint now) const noexcept
+bool ControlLink::HasActiveControl(TimePoint now) const noexcept
 {
-  return m_answering && now - m_answeredAt < kSilence;
+  return m_activeControl && now - m_answeredAt < kAnswerTimeout;
 }
 
-std::span<const EntrySettings::Control> ControlLink::Targets(TimePoint now) const
+std::span<const EntrySettings::Control> ControlLink::Recipients(TimePoint now) const
 {
-  if (Answers(now)) {
-    return std::span(m_controls).subspan(*m_answering, 1);
+  if (HasActiveControl(now)) {
+    return std::span(m_controls).subspan(*m_activeControl, 1);
   }
   return m_controls;
 }
--- a/src/agent/engine_orders.cpp
+++ b/src/agent/engine_orders.cpp
@@ -16,20 +16,20 @@
 
 } // namespace
 
-void EngineOrders::Want(std::string model, std::string version, Epoch epoch)
+void EngineOrders::SetDesired(std::string model, std::string version, Epoch epoch)
 {
-  m_wanted = Wanted{ std::move(model), std::move(version), epoch };
+  m_desired = DesiredModel{ std::move(model), std::move(version), epoch };
 }
 
-void EngineOrders::WantNothing()
+void EngineOrders::ClearDesired()
 {
-  m_wanted.reset();
+  m_desired.reset();
 }
 
 bool EngineOrders::Loaded(const TargetStatus& status) const noexcept
 {
-  return m_wanted && !m_order && !m_unsureSince && !status.loading &&
-         status.model == m_wanted->model && status.version == m_wanted->version;
+  return m_desired && !m_order && !m_outcomeUnknownSince && !status.loading &&
+         status.model == m_desired->model && status.version == m_desired->version;
 }
 
 void EngineOrders::Tick(impl::AgentContext& context, const TargetProbe& probe)
@@ -38,14 +38,14 @@
   if (m_order) {
     return;
   }
-  if (m_unsureSince) {
-    const bool askedSince = status.aliveAskedAt && *status.aliveAskedAt >= *m_unsureSince;
-    if (!askedSince || status.loading) {
+  if (m_outcomeUnknownSince) {
+    const bool probedSince = status.aliveAsOf && *status.aliveAsOf >= *m_outcomeUnknownSince;
+    if (!probedSince || status.loading) {
       return;
     }
-    m_unsureSince.reset();
+    m_outcomeUnknownSince.reset();
   }
-  if (!m_wanted || Loaded(status) || status.loading || context.Now() < m_notBefore ||
+  if (!m_desired || Loaded(status) || status.loading || context.Now() < m_retryAt ||
       !probe.Alive(context.Now())) {
     return;
   }
@@ -58,30 +58,30 @@
 
 void EngineOrders::SendLoad(impl::AgentContext& context)
 {
-  const boost::json::object body{ { "model", m_wanted->model },
-                                  { "version", m_wanted->version },
-                                  { "fencing", m_wanted->epoch.Get() } };
+  const boost::json::object body{ { "model", m_desired->model },
+                                  { "version", m_desired->version },
+                                  { "fencing", m_desired->epoch.Get() } };
   const ExchangeId exchange = context.Call(
     "POST", "/orders/load", JsonHeaders(), boost::json::serialize(body), kOrderTimeout);
-  m_order = Order{ exchange, m_wanted->model, m_wanted->version, m_wanted->epoch };
+  m_order = Order{ exchange, m_desired->model, m_desired->version, m_desired->epoch };
   context.Emit(EventNumber::kEngineOrderSent,
                { { "order", "load" },
-                 { "model", m_wanted->model },
-                 { "version", m_wanted->version },
-                 { "epoch", std::to_string(m_wanted->epoch.Get()) } });
+                 { "model", m_desired->model },
+                 { "version", m_desired->version },
+                 { "epoch", std::to_string(m_desired->epoch.Get()) } });
 }
 
 void EngineOrders::SendUnload(impl::AgentContext& context)
 {
-  const boost::json::object body{ { "fencing", m_wanted->epoch.Get() } };
+  const boost::json::object body{ { "fencing", m_desired->epoch.Get() } };
   const ExchangeId exchange = context.Call(
     "POST", "/orders/unload", JsonHeaders(), boost::json::serialize(body), kOrderTimeout);
-  m_order = Order{ exchange, "", "", m_wanted->epoch };
+  m_order = Order{ exchange, "", "", m_desired->epoch };
   context.Emit(EventNumber::kEngineOrderSent,
                { { "order", "unload" },
                  { "model", "" },
                  { "version", "" },
-                 { "epoch", std::to_string(m_wanted->epoch.Get()) } });
+                 { "epoch", std::to_string(m_desired->epoch.Get()) } });
 }
 
 bool EngineOrders::OnAnswer(impl::AgentContext& context,
@@ -99,10 +99,10 @@
   }
   const Order order = *std::exchange(m_order, std::nullopt);
   if (order.status == kHttpOk) {
-    probe.OnOrdered(order.model, order.version);
+    probe.OnOrderCompleted(order.model, order.version);
     return true;
   }
-  m_notBefore = context.Now() + kRetryAfter;
+  m_retryAt = context.Now() + kRetryAfter;
   context.Emit(
     EventNumber::kEngineOrderRefused,
     { { "status", std::to_string(order.status) }, { "epoch", std::to_string(order.epoch.Get()) } });
@@ -115,9 +115,9 @@
     return false;
   }
   m_order.reset();
-  m_notBefore = context.Now() + kRetryAfter;
+  m_retryAt = context.Now() + kRetryAfter;
   if (!failure.neverSent) {
-    m_unsureSince = context.Now();
+    m_outcomeUnknownSince = context.Now();
   }
   context.Emit(EventNumber::kEngineOrderFailed, { { "error", ToString(failure.error) } });
   return true;
--- a/src/agent/gate.cpp
+++ b/src/agent/gate.cpp
@@ -56,52 +56,52 @@
   return text;
 }
 
-GateState CheckWhole(TimePoint now, const GateFacts& facts)
+GateState CheckGroupIntact(TimePoint now, const GateInputs& inputs)
 {
-  if (!facts.grouped) {
+  if (!inputs.hasGroup) {
     return Closed(GateReason::kNoGroup);
   }
-  if (!facts.head) {
+  if (!inputs.isHead) {
     return Closed(GateReason::kNotHead);
   }
-  for (const MemberBeat& beat : facts.beats) {
-    if (!Fresh(now, beat.askedAt, facts.memberTimeout)) {
-      return Closed(GateReason::kMemberMissing, beat.vm);
+  for (const MemberHeartbeat& heartbeat : inputs.heartbeats) {
+    if (!Fresh(now, heartbeat.aliveAsOf, inputs.memberTimeout)) {
+      return Closed(GateReason::kMemberMissing, heartbeat.vm);
     }
   }
-  if (facts.lease == nullptr || !facts.lease->Holds(now)) {
+  if (inputs.lease == nullptr || !inputs.lease->Holds(now)) {
     return Closed(GateReason::kLeaseEnded);
   }
   return {};
 }
 
-GateState CheckGate(TimePoint now, const GateFacts& facts)
+GateState CheckGate(TimePoint now, const GateInputs& inputs)
 {
-  if (facts.leaving) {
+  if (inputs.leaving) {
     return Closed(GateReason::kLeaving);
   }
-  if (facts.releasing) {
+  if (inputs.releasing) {
     return Closed(GateReason::kReleasing);
   }
-  if (facts.drainingMember) {
-    return Closed(GateReason::kDraining, *facts.drainingMember);
+  if (inputs.drainingMember) {
+    return Closed(GateReason::kDraining, *inputs.drainingMember);
   }
-  GateState whole = CheckWhole(now, facts);
-  if (!whole.Open()) {
-    return whole;
+  GateState intact = CheckGroupIntact(now, inputs);
+  if (!intact.Open()) {
+    return intact;
   }
-  for (const MemberBeat& beat : facts.beats) {
-    if (beat.leaving) {
-      return Closed(GateReason::kLeaving, beat.vm);
+  for (const MemberHeartbeat& heartbeat : inputs.heartbeats) {
+    if (heartbeat.leaving) {
+      return Closed(GateReason::kLeaving, heartbeat.vm);
     }
-    if (!beat.weightsLoaded) {
-      return Closed(GateReason::kWeightsNotLoaded, beat.vm);
+    if (!heartbeat.weightsLoaded) {
+      return Closed(GateReason::kWeightsNotLoaded, heartbeat.vm);
     }
   }
-  if (!facts.entryKnown) {
+  if (!inputs.entryKnown) {
     return Closed(GateReason::kNoEntry);
   }
-  if (!facts.serveUnconfirmed && !Fresh(now, facts.confirmedAt, facts.confirmationLimit)) {
+  if (!inputs.serveUnconfirmed && !Fresh(now, inputs.confirmedAt, inputs.confirmationLimit)) {
     return Closed(GateReason::kUnconfirmed);
   }
   return {};
--- a/src/agent/group_system.cpp
+++ b/src/agent/group_system.cpp
@@ -8,9 +8,10 @@
 
 namespace {
 
-/// Clock rates of two VMs may differ; whoever waits for the other's timeout waits this much longer.
-constexpr double kClockDrift = 0.01;
-constexpr Duration kHeadSilence = std::chrono::seconds(3);
+/// Clock rates of two VMs may differ. A process that waits for another one's timeout to expire
+/// waits longer by this fraction.
+constexpr double kMaxClockDrift = 0.01;
+constexpr Duration kHeadTimeout = std::chrono::seconds(3);
 
 Assignment FromWire(const wire::AssignT& assign)
 {
@@ -25,7 +26,7 @@
   return assignment;
 }
 
-bool Names(const Assignment& assignment, const VmId& vm)
+bool HasMember(const Assignment& assignment, const VmId& vm)
 {
   return std::any_of(assignment.members.begin(),
                      assignment.members.end(),
@@ -35,10 +36,10 @@
 } // namespace
 
 GroupSystem::GroupSystem(const AgentSettings& settings,
-                         Parts parts,
+                         Dependencies parts,
                          std::function<std::uint64_t()> random)
   : m_settings(settings)
-  , m_parts(parts)
+  , m_dependencies(parts)
   , m_random(std::move(random))
   , m_membership(settings.vm)
 {
@@ -50,16 +51,18 @@
                            const wire::AssignT& assign)
 {
   const Assignment assignment = FromWire(assign);
-  const bool fits = Names(assignment, m_settings.vm) && Names(assignment, assignment.head);
-  const auto verdict = fits ? m_membership.Accept(assignment) : GroupMembership::Verdict::kRefused;
+  const bool isValid =
+    HasMember(assignment, m_settings.vm) && HasMember(assignment, assignment.head);
+  const auto result =
+    isValid ? m_membership.Accept(assignment) : VmMembership::AcceptResult::kRefused;
   wire::AssignReplyT reply;
   reply.vm = m_settings.vm.Get();
   reply.group = assign.group;
   reply.epoch = assign.epoch;
-  reply.accepted = verdict != GroupMembership::Verdict::kRefused;
+  reply.accepted = result != VmMembership::AcceptResult::kRefused;
   reply.heldEpoch = m_membership.HighestEpoch().Get();
   context.Send(frame.peer, "", reply);
-  if (verdict == GroupMembership::Verdict::kRefused) {
+  if (result == VmMembership::AcceptResult::kRefused) {
     context.Emit(EventNumber::kAgentAssignRefused,
                  { { "group", std::to_string(assign.group) },
                    { "epoch", std::to_string(assign.epoch) },
@@ -67,20 +70,22 @@
                    { "peer", frame.peer.Get() } });
     return;
   }
-  m_parts.link.OnAnswer(context.Now(), frame.peer);
-  m_parts.config.OnVersionSeen(LogIndex(assign.version));
-  if (verdict == GroupMembership::Verdict::kRepeated) {
+  m_dependencies.link.OnAnswer(context.Now(), frame.peer);
+  m_dependencies.config.OnVersionSeen(LogIndex(assign.version));
+  if (result == VmMembership::AcceptResult::kRepeated) {
     return;
   }
   requests.EndAll(context, "group epoch superseded");
-  // The head of the former epoch may count on our last answer for a member timeout. Vouching for
-  // the new head meanwhile would make two heads serve with this VM at once.
-  m_quietUntil = m_lastVouched ? *m_lastVouched + QuietTime() : TimePoint{};
+  // The head of the former epoch may rely on this VM's last reply for a member timeout. Replies to
+  // the new head in that time would let two heads serve with this VM at once.
+  m_noReplyUntil =
+    m_lastHeartbeatReply ? *m_lastHeartbeatReply + MemberTimeoutWithDrift() : TimePoint{};
   m_lease.Clear();
-  m_beats.Begin(assignment);
+  m_heartbeats.Begin(assignment);
   m_reportedReady = false;
   if (m_settings.kind == wire::TargetKind::Engine) {
-    m_parts.orders.Want(assignment.entry.Get(), assignment.modelVersion, assignment.epoch);
+    m_dependencies.orders.SetDesired(
+      assignment.entry.Get(), assignment.modelVersion, assignment.epoch);
   }
   context.Emit(EventNumber::kAgentAssigned,
                { { "group", std::to_string(assign.group) },
@@ -94,19 +99,19 @@
                             const FrameIn& frame,
                             const wire::ReleaseT& release)
 {
-  m_parts.link.OnAnswer(context.Now(), frame.peer);
+  m_dependencies.link.OnAnswer(context.Now(), frame.peer);
   const TimePoint graceUntil = context.Now() + std::chrono::milliseconds(release.graceMillis);
-  const auto verdict =
+  const auto result =
     m_membership.StartRelease(GroupId(release.group), Epoch(release.epoch), graceUntil);
-  if (verdict == GroupMembership::ReleaseVerdict::kNotHeld) {
-    // While a former head may count on us, stay silent: control asks again.
-    if (context.Now() >= m_quietUntil) {
+  if (result == VmMembership::ReleaseResult::kNotHeld) {
+    // No answer while a former head may still rely on this VM; control repeats the release.
+    if (context.Now() >= m_noReplyUntil) {
       SendReleased(context, frame.peer, GroupId(release.group), Epoch(release.epoch));
     }
     return;
   }
   m_releasedBy = frame.peer;
-  if (verdict == GroupMembership::ReleaseVerdict::kStarted) {
+  if (result == VmMembership::ReleaseResult::kStarted) {
     context.Emit(EventNumber::kAgentReleaseStarted,
                  { { "group", std::to_string(release.group) },
                    { "epoch", std::to_string(release.epoch) },
@@ -125,10 +130,10 @@
   if (!sentAt) {
     return;
   }
-  m_parts.link.OnAnswer(context.Now(), frame.peer);
-  // Control answers reports only once a quorum confirmed it after they came in: the answer proves
-  // as much about the configuration as that to a query.
-  m_parts.config.OnConfirmed(*sentAt, LogIndex(grant.configVersion));
+  m_dependencies.link.OnAnswer(context.Now(), frame.peer);
+  // Control answers a report only after a quorum has confirmed its leadership since the report
+  // arrived, so that the answer confirms the configuration as the answer to a query does.
+  m_dependencies.config.OnConfirmed(*sentAt, LogIndex(grant.configVersion));
   if (grant.granted) {
     m_lease.Extend(*sentAt + std::chrono::milliseconds(grant.leaseMillis));
   }
@@ -138,15 +143,15 @@
                                 const FrameIn& frame,
                                 const wire::BeatRequestT& request)
 {
-  m_parts.config.OnVersionSeen(LogIndex(request.configVersion));
+  m_dependencies.config.OnVersionSeen(LogIndex(request.configVersion));
   const TimePoint now = context.Now();
-  if (!m_membership.Holds(GroupId(request.group), Epoch(request.epoch)) || now < m_quietUntil) {
+  if (!m_membership.Holds(GroupId(request.group), Epoch(request.epoch)) || now < m_noReplyUntil) {
     return;
   }
   if (m_membership.Releasing() && now >= m_membership.GraceUntil()) {
     return;
   }
-  const bool alive = m_parts.probe.Alive(now);
+  const bool alive = m_dependencies.probe.Alive(now);
   wire::BeatReplyT reply;
   reply.group = request.group;
   reply.epoch = request.epoch;
@@ -156,7 +161,7 @@
   reply.weightsLoaded = WeightsLoaded();
   reply.leaving = m_leaving;
   context.Send(frame.peer, "", reply);
-  m_lastVouched = now;
+  m_lastHeartbeatReply = now;
 }
 
 void GroupSystem::OnBeatReply(const wire::BeatReplyT& reply)
@@ -164,36 +169,36 @@
   if (!m_membership.Holds(GroupId(reply.group), Epoch(reply.epoch)) || !m_membership.IsHead()) {
     return;
   }
-  m_beats.OnReply(
+  m_heartbeats.OnReply(
     VmId(reply.vm), reply.nonce, reply.engineAlive, reply.weightsLoaded, reply.leaving);
 }
 
-bool GroupSystem::HearsHead(TimePoint now) const noexcept
+bool GroupSystem::AnsweredHeadRecently(TimePoint now) const noexcept
 {
-  return m_lastVouched && now - *m_lastVouched < kHeadSilence;
+  return m_lastHeartbeatReply && now - *m_lastHeartbeatReply < kHeadTimeout;
 }
 
 bool GroupSystem::WeightsLoaded() const noexcept
 {
   return m_settings.kind == wire::TargetKind::Service ||
-         m_parts.orders.Loaded(m_parts.probe.Status());
+         m_dependencies.orders.Loaded(m_dependencies.probe.Status());
 }
 
 Duration GroupSystem::MemberTimeout() const
 {
-  return m_parts.config.Copy().Policy().memberTimeout;
+  return m_dependencies.config.LocalCatalogue().Policy().memberTimeout;
 }
 
-Duration GroupSystem::QuietTime() const
+Duration GroupSystem::MemberTimeoutWithDrift() const
 {
-  const double nanos = static_cast<double>(MemberTimeout().count()) * (1 + kClockDrift);
+  const double nanos = static_cast<double>(MemberTimeout().count()) * (1 + kMaxClockDrift);
   return Duration(static_cast<Duration::rep>(nanos));
 }
 
 std::optional<VmId> GroupSystem::DrainingMember() const
 {
   for (const AssignedMember& member : m_membership.Current()->members) {
-    const TargetSpec* target = m_parts.config.Copy().FindTarget(member.vm);
+    const TargetSpec* target = m_dependencies.config.LocalCatalogue().FindTarget(member.vm);
     if (target != nullptr && target->draining) {
       return member.vm;
     }
@@ -207,7 +212,7 @@
   if (!assignment) {
     return {};
   }
-  const Catalogue& copy = m_parts.config.Copy();
+  const Catalogue& copy = m_dependencies.config.LocalCatalogue();
   if (const ModelSpec* model = copy.FindModel(assignment->entry)) {
     return { model->maxConcurrent, model->maxQueued };
   }
@@ -217,69 +222,69 @@
   return {};
 }
 
-GateFacts GroupSystem::Facts() const
+GateInputs GroupSystem::CollectGateInputs() const
 {
   const auto& assignment = m_membership.Current();
-  const PolicySpec& policy = m_parts.config.Copy().Policy();
-  GateFacts facts;
-  facts.grouped = assignment.has_value();
-  facts.head = m_membership.IsHead();
-  facts.leaving = m_leaving;
-  facts.releasing = m_membership.Releasing();
-  facts.lease = &m_lease;
-  facts.beats = m_beats.Rows();
-  facts.memberTimeout = policy.memberTimeout;
-  facts.confirmedAt = m_parts.config.ConfirmedAt();
-  facts.confirmationLimit = policy.confirmationLimit;
-  facts.serveUnconfirmed = policy.serveUnconfirmed;
-  return facts;
+  const PolicySpec& policy = m_dependencies.config.LocalCatalogue().Policy();
+  GateInputs inputs;
+  inputs.hasGroup = assignment.has_value();
+  inputs.isHead = m_membership.IsHead();
+  inputs.leaving = m_leaving;
+  inputs.releasing = m_membership.Releasing();
+  inputs.lease = &m_lease;
+  inputs.heartbeats = m_heartbeats.Rows();
+  inputs.memberTimeout = policy.memberTimeout;
+  inputs.confirmedAt = m_dependencies.config.ConfirmedAt();
+  inputs.confirmationLimit = policy.confirmationLimit;
+  inputs.serveUnconfirmed = policy.serveUnconfirmed;
+  return inputs;
 }
 
-GateState GroupSystem::Whole(TimePoint now) const
+GateState GroupSystem::GroupIntact(TimePoint now) const
 {
-  return CheckWhole(now, Facts());
+  return CheckGroupIntact(now, CollectGateInputs());
 }
 
 GateState GroupSystem::Gate(TimePoint now) const
 {
-  GateFacts facts = Facts();
-  if (facts.grouped) {
-    facts.drainingMember = DrainingMember();
-    facts.entryKnown = Limits().maxConcurrent > 0;
+  GateInputs inputs = CollectGateInputs();
+  if (inputs.hasGroup) {
+    inputs.drainingMember = DrainingMember();
+    inputs.entryKnown = Limits().maxConcurrent > 0;
   }
-  return CheckGate(now, facts);
+  return CheckGate(now, inputs);
 }
 
 void GroupSystem::Tick(impl::AgentContext& context, RequestSystem& requests)
 {
-  const TargetStatus& status = m_parts.probe.Status();
-  if (status.aliveAskedAt) {
-    m_beats.OnOwnTarget(m_settings.vm, *status.aliveAskedAt, WeightsLoaded());
+  const TargetStatus& status = m_dependencies.probe.Status();
+  if (status.aliveAsOf) {
+    m_heartbeats.OnOwnTarget(m_settings.vm, *status.aliveAsOf, WeightsLoaded());
   }
   AdvanceRelease(context, requests);
   if (m_membership.IsHead()) {
-    AskBeats(context);
-    Report(context, requests);
+    SendHeartbeatRequests(context);
+    SendReport(context, requests);
   }
-  NoteGate(context);
+  EmitGateChange(context);
 }
 
-void GroupSystem::AskBeats(impl::AgentContext& context)
+void GroupSystem::SendHeartbeatRequests(impl::AgentContext& context)
 {
   const TimePoint now = context.Now();
-  if (!m_beats.Due(now)) {
+  if (!m_heartbeats.Due(now)) {
     return;
   }
-  const auto confirmedAt = m_parts.config.ConfirmedAt();
+  const auto confirmedAt = m_dependencies.config.ConfirmedAt();
   wire::BeatRequestT request;
   request.group = m_membership.Current()->group.Get();
   request.epoch = m_membership.Current()->epoch.Get();
   request.nonce = m_random();
-  request.configVersion = m_parts.config.Version().Get();
+  request.configVersion = m_dependencies.config.Version().Get();
   request.confirmationAgeMillis = confirmedAt
                                     ? static_cast<std::uint32_t>(ToMillis(now - *confirmedAt))
                                     : std::numeric_limits<std::uint32_t>::max();
-  m_beats.OnAsked(now, request.nonce);
+  m_heartbeats.OnRequestSent(now, request.nonce);
   for (const AssignedMember& member : m_membership.Current()->members) {
     if (member.vm != m_settings.vm) {
       context.Send(member.process, member.address, request);
@@ -287,7 +292,7 @@
   }
 }
 
-void GroupSystem::Report(impl::AgentContext& context, const RequestSystem& requests)
+void GroupSystem::SendReport(impl::AgentContext& context, const RequestSystem& requests)
 {
   const TimePoint now = context.Now();
   const bool ready = Gate(now).Open();
@@ -304,14 +309,14 @@
   report.running = requests.Running();
   report.queued = requests.Queued();
   report.weightsLoaded = true;
-  for (const MemberBeat& beat : m_beats.Rows()) {
-    if (!beat.askedAt || now - *beat.askedAt >= MemberTimeout()) {
-      report.missing.push_back(beat.vm.Get());
+  for (const MemberHeartbeat& heartbeat : m_heartbeats.Rows()) {
+    if (!heartbeat.aliveAsOf || now - *heartbeat.aliveAsOf >= MemberTimeout()) {
+      report.missing.push_back(heartbeat.vm.Get());
     }
-    report.weightsLoaded = report.weightsLoaded && beat.weightsLoaded;
+    report.weightsLoaded = report.weightsLoaded && heartbeat.weightsLoaded;
   }
   m_lease.OnReportSent(now, report.nonce);
-  for (const auto& control : m_parts.link.Targets(now)) {
+  for (const auto& control : m_dependencies.link.Recipients(now)) {
     context.Send(control.process, control.address, report);
   }
 }
@@ -328,18 +333,18 @@
   if (requests.Running() > 0 || requests.Queued() > 0) {
     return;
   }
-  // The head may count on our last answer for a member timeout; a VM that moved to another group
-  // before then would be missing from a group that still serves.
-  if (m_lastVouched && now - *m_lastVouched < QuietTime()) {
+  // The head may rely on this VM's last reply for a member timeout. If the VM moved to another
+  // group before that, the former group would serve without it.
+  if (m_lastHeartbeatReply && now - *m_lastHeartbeatReply < MemberTimeoutWithDrift()) {
     return;
   }
   const GroupId group = m_membership.Current()->group;
   const Epoch epoch = m_membership.Current()->epoch;
   requests.EndAll(context, "group dissolved");
   m_membership.Leave();
-  m_beats.Clear();
+  m_heartbeats.Clear();
   m_lease.Clear();
-  m_parts.orders.WantNothing();
+  m_dependencies.orders.ClearDesired();
   SendReleased(context, m_releasedBy, group, epoch);
   context.Emit(
     EventNumber::kAgentReleased,
@@ -358,19 +363,19 @@
   context.Send(to, "", released);
 }
 
-void GroupSystem::NoteGate(impl::AgentContext& context)
+void GroupSystem::EmitGateChange(impl::AgentContext& context)
 {
   const auto& assignment = m_membership.Current();
   if (!assignment || !m_membership.IsHead()) {
-    m_notedGate = GateReason::kNoGroup;
+    m_emittedGateReason = GateReason::kNoGroup;
     return;
   }
   const GateState gate = Gate(context.Now());
-  if (gate.reason == m_notedGate && gate.member == m_notedMember) {
+  if (gate.reason == m_emittedGateReason && gate.member == m_emittedGateMember) {
     return;
   }
-  m_notedGate = gate.reason;
-  m_notedMember = gate.member;
+  m_emittedGateReason = gate.reason;
+  m_emittedGateMember = gate.member;
   const std::string group = std::to_string(assignment->group.Get());
   const std::string epoch = std::to_string(assignment->epoch.Get());
   if (gate.Open()) {
--- a/src/agent/heartbeats.cpp
+++ b/src/agent/heartbeats.cpp
@@ -4,64 +4,64 @@
 
 namespace gooseberrysail {
 
-void BeatTable::Begin(const Assignment& assignment)
+void HeartbeatTable::Begin(const Assignment& assignment)
 {
   Clear();
   for (const AssignedMember& member : assignment.members) {
-    m_rows.push_back(MemberBeat{ member.vm, std::nullopt, false, false });
+    m_rows.push_back(MemberHeartbeat{ member.vm, std::nullopt, false, false });
   }
 }
 
-void BeatTable::Clear()
+void HeartbeatTable::Clear()
 {
   m_rows.clear();
-  m_rounds = impl::NonceRing{};
+  m_requests = impl::NonceRing{};
 }
 
-bool BeatTable::Due(TimePoint now) const noexcept
+bool HeartbeatTable::Due(TimePoint now) const noexcept
 {
-  return m_rounds.Due(now, kInterval);
+  return m_requests.Due(now, kInterval);
 }
 
-void BeatTable::OnAsked(TimePoint now, std::uint64_t nonce)
+void HeartbeatTable::OnRequestSent(TimePoint now, std::uint64_t nonce)
 {
-  m_rounds.OnSent(now, nonce);
+  m_requests.OnSent(now, nonce);
 }
 
-MemberBeat* BeatTable::Find(const VmId& vm) noexcept
+MemberHeartbeat* HeartbeatTable::Find(const VmId& vm) noexcept
 {
   const auto row = std::find_if(
-    m_rows.begin(), m_rows.end(), [&vm](const MemberBeat& each) { return each.vm == vm; });
+    m_rows.begin(), m_rows.end(), [&vm](const MemberHeartbeat& each) { return each.vm == vm; });
   return row == m_rows.end() ? nullptr : &*row;
 }
 
-bool BeatTable::OnReply(const VmId& vm,
-                        std::uint64_t nonce,
-                        bool engineAlive,
-                        bool weightsLoaded,
-                        bool leaving)
+bool HeartbeatTable::OnReply(const VmId& vm,
+                             std::uint64_t nonce,
+                             bool engineAlive,
+                             bool weightsLoaded,
+                             bool leaving)
 {
-  const auto askedAt = m_rounds.SentAt(nonce);
-  MemberBeat* row = Find(vm);
-  if (!askedAt || row == nullptr) {
+  const auto sentAt = m_requests.SentAt(nonce);
+  MemberHeartbeat* row = Find(vm);
+  if (!sentAt || row == nullptr) {
     return false;
   }
-  if (row->askedAt && *askedAt < *row->askedAt) {
-    return true; // A late reply to an earlier round tells nothing new.
+  if (row->aliveAsOf && *sentAt < *row->aliveAsOf) {
+    return true; // A late reply to an earlier request carries no new information.
   }
   row->weightsLoaded = weightsLoaded;
   row->leaving = leaving;
-  // An agent whose engine is dead is as good as missing: its beat doesn't count.
+  // A member whose engine is dead counts as missing, although its agent answers.
   if (engineAlive) {
-    row->askedAt = askedAt;
+    row->aliveAsOf = sentAt;
   }
   return true;
 }
 
-void BeatTable::OnOwnTarget(const VmId& vm, TimePoint askedAt, bool weightsLoaded)
+void HeartbeatTable::OnOwnTarget(const VmId& vm, TimePoint aliveAsOf, bool weightsLoaded)
 {
-  if (MemberBeat* row = Find(vm)) {
-    row->askedAt = askedAt;
+  if (MemberHeartbeat* row = Find(vm)) {
+    row->aliveAsOf = aliveAsOf;
     row->weightsLoaded = weightsLoaded;
   }
 }
--- a/src/agent/held_output.cpp
+++ b/src/agent/held_output.cpp
@@ -24,27 +24,27 @@
 
 void HeldOutput::TruncateTo(std::uint64_t offset)
 {
-  if (offset < m_first) {
-    offset = m_first;
+  if (offset < m_firstOffset) {
+    offset = m_firstOffset;
   }
   if (offset < EndOffset()) {
-    m_bytes.resize(m_freed + static_cast<std::size_t>(offset - m_first));
+    m_bytes.resize(m_acknowledgedBytes + static_cast<std::size_t>(offset - m_firstOffset));
   }
 }
 
 std::size_t HeldOutput::Acknowledge(std::uint64_t offset)
 {
   const std::uint64_t last = std::min(offset, EndOffset());
-  if (last <= m_first) {
+  if (last <= m_firstOffset) {
     return 0;
   }
-  const auto freed = static_cast<std::size_t>(last - m_first);
-  m_freed += freed;
-  m_first = last;
-  // Moving the rest up on each acknowledgement would cost time in the square of the answer.
-  if (m_freed * 2 >= m_bytes.size()) {
-    m_bytes.erase(0, m_freed);
-    m_freed = 0;
+  const auto freed = static_cast<std::size_t>(last - m_firstOffset);
+  m_acknowledgedBytes += freed;
+  m_firstOffset = last;
+  // Erasing on each acknowledgement would take time quadratic in the length of the answer.
+  if (m_acknowledgedBytes * 2 >= m_bytes.size()) {
+    m_bytes.erase(0, m_acknowledgedBytes);
+    m_acknowledgedBytes = 0;
     if (m_bytes.empty()) {
       m_bytes.shrink_to_fit();
     }
@@ -52,13 +52,13 @@
   return freed;
 }
 
-std::string_view HeldOutput::Read(std::uint64_t offset, std::size_t most) const
+std::string_view HeldOutput::Read(std::uint64_t offset, std::size_t maxBytes) const
 {
-  if (offset < m_first || offset > EndOffset()) {
+  if (offset < m_firstOffset || offset > EndOffset()) {
     return {};
   }
-  const auto from = m_freed + static_cast<std::size_t>(offset - m_first);
-  return std::string_view(m_bytes).substr(from, most);
+  const auto from = m_acknowledgedBytes + static_cast<std::size_t>(offset - m_firstOffset);
+  return std::string_view(m_bytes).substr(from, maxBytes);
 }
 
 } // namespace gooseberrysail
--- a/src/agent/lease.cpp
+++ b/src/agent/lease.cpp
@@ -21,7 +21,7 @@
 
 void GroupLease::Extend(TimePoint until) noexcept
 {
-  // A grant overtaken by a later one must not shorten it.
+  // A grant that arrives after a later one must not shorten the lease.
   m_until = std::max(m_until.value_or(until), until);
 }
 
--- a/src/agent/ledger.cpp
+++ b/src/agent/ledger.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-/// A request id taken apart: the entry's life and the number within it.
+/// Parts of a request id: the entry's process incarnation and the sequence number within it.
 struct Origin
 {
-  std::string_view life;
+  std::string_view entryIncarnation;
   std::uint64_t sequence = 0;
 };
 
@@ -43,64 +43,64 @@
 {
 }
 
-void RequestLedger::Note(TimePoint now, const AttemptKey& key, Verdict verdict)
+void RequestLedger::Record(TimePoint now, const AttemptKey& key, AttemptOutcome outcome)
 {
-  if (!m_lines.emplace(key, verdict).second) {
-    return; // The first verdict stands.
+  if (!m_records.emplace(key, outcome).second) {
+    return; // The first outcome is final.
   }
-  m_order.push_back(Age{ now, key });
-  while (m_order.size() > m_bounds.lines) {
+  m_recordedKeys.push_back(RecordedKey{ now, key });
+  while (m_recordedKeys.size() > m_bounds.maxRecords) {
     DropOldest();
   }
 }
 
-std::optional<Verdict> RequestLedger::Find(const AttemptKey& key) const
+std::optional<AttemptOutcome> RequestLedger::Find(const AttemptKey& key) const
 {
-  const auto line = m_lines.find(key);
-  return line == m_lines.end() ? std::nullopt : std::optional(line->second);
+  const auto record = m_records.find(key);
+  return record == m_records.end() ? std::nullopt : std::optional(record->second);
 }
 
-bool RequestLedger::MayHaveForgotten(const RequestId& request) const
+bool RequestLedger::MayHaveEvicted(const RequestId& request) const
 {
   const auto origin = OriginOf(request);
   if (!origin) {
-    return m_originsForgotten;
+    return m_unknownOriginsEvicted;
   }
-  const auto mark = m_watermarks.find(origin->life);
-  if (mark == m_watermarks.end()) {
-    return m_originsForgotten;
+  const auto watermark = m_watermarks.find(origin->entryIncarnation);
+  if (watermark == m_watermarks.end()) {
+    return m_unknownOriginsEvicted;
   }
-  return origin->sequence <= mark->second;
+  return origin->sequence <= watermark->second;
 }
 
 void RequestLedger::Expire(TimePoint now)
 {
-  while (!m_order.empty() && now - m_order.front().notedAt > m_bounds.keepFor) {
+  while (!m_recordedKeys.empty() && now - m_recordedKeys.front().recordedAt > m_bounds.retention) {
     DropOldest();
   }
 }
 
 void RequestLedger::DropOldest()
 {
-  const AttemptKey key = m_order.front().key;
-  m_order.pop_front();
-  m_lines.erase(key);
+  const AttemptKey key = m_recordedKeys.front().key;
+  m_recordedKeys.pop_front();
+  m_records.erase(key);
   const auto origin = OriginOf(key.request);
   if (!origin) {
-    m_originsForgotten = true;
+    m_unknownOriginsEvicted = true;
     return;
   }
-  const auto mark = m_watermarks.find(origin->life);
-  if (mark != m_watermarks.end()) {
-    mark->second = std::max(mark->second, origin->sequence);
+  const auto watermark = m_watermarks.find(origin->entryIncarnation);
+  if (watermark != m_watermarks.end()) {
+    watermark->second = std::max(watermark->second, origin->sequence);
     return;
   }
-  if (m_watermarks.size() >= m_bounds.origins) {
-    // From here on nothing is claimed about lives without a mark of their own.
-    m_originsForgotten = true;
+  if (m_watermarks.size() >= m_bounds.maxOrigins) {
+    // From now on every request of an incarnation without a watermark may have been evicted.
+    m_unknownOriginsEvicted = true;
     return;
   }
-  m_watermarks.emplace(std::string(origin->life), origin->sequence);
+  m_watermarks.emplace(std::string(origin->entryIncarnation), origin->sequence);
 }
 
 } // namespace gooseberrysail
--- a/src/agent/load_reports.cpp
+++ b/src/agent/load_reports.cpp
@@ -2,7 +2,7 @@
 
 namespace gooseberrysail {
 
-void LoadReports::OnWork(TimePoint now, const ProcessId& entry)
+void LoadReports::OnRequest(TimePoint now, const ProcessId& entry)
 {
   m_entries[entry].lastWork = now;
 }
@@ -12,7 +12,7 @@
   m_entries.erase(entry);
 }
 
-std::vector<ProcessId> LoadReports::Interested() const
+std::vector<ProcessId> LoadReports::ActiveEntries() const
 {
   std::vector<ProcessId> entries;
   entries.reserve(m_entries.size());
@@ -27,28 +27,29 @@
   if (!row.lastReport) {
     return true;
   }
-  // Gate changes are told at once: until then entries go on sending work that is refused.
-  const bool gateChanged = row.told.open != load.open || row.told.leaving != load.leaving ||
-                           row.told.group != load.group || row.told.epoch != load.epoch;
+  // Changes of the gate are reported at once; until then entries keep sending requests that will be
+  // refused.
+  const bool gateChanged = row.lastLoad.open != load.open || row.lastLoad.leaving != load.leaving ||
+                           row.lastLoad.group != load.group || row.lastLoad.epoch != load.epoch;
   if (gateChanged) {
     return true;
   }
-  const bool changed = row.told.running != load.running || row.told.queued != load.queued ||
-                       row.told.kvUsedPermille != load.kvUsedPermille;
+  const bool changed = row.lastLoad.running != load.running || row.lastLoad.queued != load.queued ||
+                       row.lastLoad.kvUsedPermille != load.kvUsedPermille;
   return now - *row.lastReport >= (changed ? kInterval : kUnchangedInterval);
 }
 
 void LoadReports::Tick(impl::AgentContext& context, const GroupLoad& load)
 {
   std::erase_if(m_entries, [&context](const auto& entry) {
-    return context.Now() - entry.second.lastWork > kInterest;
+    return context.Now() - entry.second.lastWork > kActivityTimeout;
   });
   for (auto& [entry, row] : m_entries) {
     if (!Due(context.Now(), row, load)) {
       continue;
     }
     row.lastReport = context.Now();
-    row.told = load;
+    row.lastLoad = load;
     wire::LoadReportT report;
     report.group = load.group.Get();
     report.epoch = load.epoch.Get();
--- a/src/agent/request_output.cpp
+++ b/src/agent/request_output.cpp
@@ -3,13 +3,13 @@
 #include <algorithm>
 #include <utility>
 
-/// \file Answers of started requests: held until acknowledged, replayed, or cut with a reason.
+/// \file Output of started requests: buffered until acknowledged, replayed, or cut with a reason.
 
 namespace gooseberrysail {
 
 namespace {
 
-/// Small enough that one answer doesn't keep the others' frames waiting.
+/// Small enough that one answer doesn't delay the frames of others.
 constexpr std::size_t kMaxChunk = 64 * 1024;
 constexpr Duration kSweepInterval = std::chrono::milliseconds(50);
 constexpr double kServiceSmoothing = 0.1;
@@ -37,12 +37,12 @@
   for (auto& [key, attempt] : m_attempts) {
     if (attempt.entry == peer && attempt.entryIncarnation != incarnation) {
       attempt.connected = false;
-      attempt.lostAt = attempt.lostAt.value_or(context.Now());
+      attempt.disconnectedAt = attempt.disconnectedAt.value_or(context.Now());
       orphans.push_back(key);
     }
   }
-  // The entry that wanted these died and its callers with it. Work that may be repeated only
-  // burns the target's time now; a booking that was begun runs to its end.
+  // The entry restarted and lost its callers' connections. Repeatable requests are cut because
+  // nobody waits for them; one that must not be repeated, such as a booking, runs to completion.
   for (const AttemptKey& key : orphans) {
     Attempt& attempt = m_attempts.at(key);
     if (attempt.state == State::kQueued) {
@@ -58,7 +58,7 @@
   for (auto& [key, attempt] : m_attempts) {
     if (attempt.entry == peer) {
       attempt.connected = false;
-      attempt.lostAt = attempt.lostAt.value_or(context.Now());
+      attempt.disconnectedAt = attempt.disconnectedAt.value_or(context.Now());
     }
   }
 }
@@ -74,13 +74,13 @@
     return;
   }
   if (row == m_attempts.end()) {
-    AnswerKnown(context, frame.peer, key);
+    AnswerFinished(context, frame.peer, key);
     return;
   }
   Attempt& attempt = row->second;
   attempt.entryIncarnation = frame.incarnation;
   attempt.connected = true;
-  attempt.lostAt.reset();
+  attempt.disconnectedAt.reset();
   attempt.lastContact = context.Now();
   if (resume.offset < attempt.output.FirstOffset() || resume.offset > attempt.output.EndOffset()) {
     const std::string reason = "output from the wanted offset is not held";
@@ -100,7 +100,7 @@
   const AttemptKey key{ RequestId(cancel.request), cancel.attempt };
   const auto row = m_attempts.find(key);
   if (row == m_attempts.end()) {
-    AnswerKnown(context, frame.peer, key);
+    AnswerFinished(context, frame.peer, key);
     return;
   }
   const std::string reason = "cancelled: " + cancel.reason;
@@ -108,7 +108,7 @@
     RefuseQueued(context, key, reason);
   } else if (row->second.state == State::kRunning) {
     Cut(context, key, row->second, reason);
-    StartWaiting(context);
+    StartQueued(context);
   }
 }
 
@@ -148,9 +148,9 @@
                    { "status", std::to_string(attempt.output.Status()) } });
   }
   Deliver(context, key, attempt);
-  KeepWithinBound(context);
+  EnforceHeldLimit(context);
   if (answer.end) {
-    StartWaiting(context);
+    StartQueued(context);
   }
   return true;
 }
@@ -171,7 +171,7 @@
   } else {
     Cut(context, key, row->second, "target failed: " + ToString(failure.error));
   }
-  StartWaiting(context);
+  StartQueued(context);
   return true;
 }
 
@@ -181,7 +181,7 @@
     return;
   }
   const double millis = static_cast<double>(ToMillis(context.Now() - attempt.startedAt));
-  m_serviceMillis += kServiceSmoothing * (millis - m_serviceMillis);
+  m_meanServiceMillis += kServiceSmoothing * (millis - m_meanServiceMillis);
   m_byExchange.erase(attempt.exchange);
   attempt.state = State::kEnded;
   attempt.lastContact = context.Now();
@@ -197,12 +197,12 @@
     context.CancelCall(attempt.exchange);
   }
   Finish(context, attempt);
-  // Output that was withheld is never delivered: the group was not whole when it was made.
+  // Withheld output is never sent: the group was not intact when it was produced.
   const std::size_t before = attempt.output.HeldBytes();
-  attempt.output.TruncateTo(attempt.cleared);
+  attempt.output.TruncateTo(attempt.deliverableEnd);
   m_heldBytes -= before - attempt.output.HeldBytes();
   attempt.output.End(reason);
-  attempt.endCleared = true;
+  attempt.endDeliverable = true;
   attempt.endSent = false;
   context.Emit(EventNumber::kRequestCut,
                { { "request", key.request.Get() },
@@ -214,7 +214,7 @@
 void RequestSystem::CutRunning(impl::AgentContext& context, const std::string& reason)
 {
   for (auto& [key, attempt] : m_attempts) {
-    const bool withheld = attempt.state == State::kEnded && !attempt.endCleared;
+    const bool withheld = attempt.state == State::kEnded && !attempt.endDeliverable;
     if (attempt.state == State::kRunning || withheld) {
       Cut(context, key, attempt, reason);
     }
@@ -225,22 +225,22 @@
 {
   RefuseAllQueued(context, reason);
   CutRunning(context, reason);
-  m_brokenSince.reset();
-  m_closedSince.reset();
+  m_groupBrokenSince.reset();
+  m_gateClosedSince.reset();
 }
 
 void RequestSystem::Remove(impl::AgentContext& context, Table::iterator row)
 {
   m_heldBytes -= row->second.output.HeldBytes();
-  m_ledger.Note(context.Now(), row->first, Verdict::kStarted);
+  m_ledger.Record(context.Now(), row->first, AttemptOutcome::kStarted);
   m_attempts.erase(row);
 }
 
-void RequestSystem::Clear(TimePoint now, Attempt& attempt)
+void RequestSystem::MarkDeliverable(TimePoint now, Attempt& attempt)
 {
-  if (m_hooks.whole(now).Open()) {
-    attempt.cleared = attempt.output.EndOffset();
-    attempt.endCleared = attempt.output.Ended();
+  if (m_hooks.groupIntact(now).Open()) {
+    attempt.deliverableEnd = attempt.output.EndOffset();
+    attempt.endDeliverable = attempt.output.Ended();
   }
 }
 
@@ -257,17 +257,19 @@
 
 void RequestSystem::Deliver(impl::AgentContext& context, const AttemptKey& key, Attempt& attempt)
 {
-  Clear(context.Now(), attempt);
+  MarkDeliverable(context.Now(), attempt);
   if (!attempt.connected) {
     return;
   }
   HeldOutput& output = attempt.output;
   while (!attempt.endSent) {
-    const std::uint64_t allowed = attempt.cleared - std::min(attempt.sent, attempt.cleared);
+    const std::uint64_t allowed =
+      attempt.deliverableEnd - std::min(attempt.sent, attempt.deliverableEnd);
     const std::string_view bytes = output.Read(
       attempt.sent, static_cast<std::size_t>(std::min<std::uint64_t>(allowed, kMaxChunk)));
-    const bool last = attempt.endCleared && attempt.sent + bytes.size() == output.EndOffset();
-    const bool headDue = !attempt.headSent && output.Begun() && m_hooks.whole(context.Now()).Open();
+    const bool last = attempt.endDeliverable && attempt.sent + bytes.size() == output.EndOffset();
+    const bool headDue =
+      !attempt.headSent && output.Begun() && m_hooks.groupIntact(context.Now()).Open();
     if (bytes.empty() && !last && !headDue) {
       return;
     }
@@ -304,11 +306,11 @@
   context.Send(peer, "", std::move(frame));
 }
 
-void RequestSystem::KeepWithinBound(impl::AgentContext& context)
+void RequestSystem::EnforceHeldLimit(impl::AgentContext& context)
 {
   while (m_heldBytes > m_maxHeldBytes) {
-    // The one holding most is the one whose caller reads slowest or whose entry is gone. Without
-    // this bound it would take the process's memory and every other request with it.
+    // The largest buffer belongs to the slowest caller or to an entry that is gone. Without this
+    // limit it would exhaust the process's memory and so end every other request.
     const auto largest = std::max_element(
       m_attempts.begin(), m_attempts.end(), [](const auto& left, const auto& right) {
         return left.second.output.HeldBytes() < right.second.output.HeldBytes();
@@ -334,49 +336,53 @@
   m_lastSweep = context.Now();
   SweepGate(context);
   SweepAttempts(context);
-  StartWaiting(context);
+  StartQueued(context);
   m_ledger.Expire(context.Now());
 }
 
 void RequestSystem::SweepAttempts(impl::AgentContext& context)
 {
-  std::vector<AttemptKey> over;
+  std::vector<AttemptKey> expired;
   std::vector<std::pair<AttemptKey, std::string>> refused;
   for (auto& [key, attempt] : m_attempts) {
     if (attempt.state == State::kQueued) {
       if (attempt.deadline && *attempt.deadline <= context.Now()) {
         refused.emplace_back(key, "deadline passed while queued");
-      } else if (attempt.lostAt && context.Now() - *attempt.lostAt >= kHoldFor) {
+      } else if (attempt.disconnectedAt &&
+                 context.Now() - *attempt.disconnectedAt >= kOutputRetention) {
         refused.emplace_back(key, "entry lost while queued");
       }
-    } else if (SweepOne(context, key, attempt)) {
-      over.push_back(key);
+    } else if (SweepAttempt(context, key, attempt)) {
+      expired.push_back(key);
     }
   }
   for (const auto& [key, reason] : refused) {
     RefuseQueued(context, key, reason);
   }
-  for (const AttemptKey& key : over) {
+  for (const AttemptKey& key : expired) {
     Remove(context, m_attempts.find(key));
   }
 }
 
-bool RequestSystem::SweepOne(impl::AgentContext& context, const AttemptKey& key, Attempt& attempt)
+bool RequestSystem::SweepAttempt(impl::AgentContext& context,
+                                 const AttemptKey& key,
+                                 Attempt& attempt)
 {
   const TimePoint now = context.Now();
-  const bool lost = attempt.lostAt && now - *attempt.lostAt >= kHoldFor;
-  // A call that must not be repeated is let run to its end, but a target that hangs must not keep
-  // its slot for ever.
+  const bool entryLost =
+    attempt.disconnectedAt && now - *attempt.disconnectedAt >= kOutputRetention;
+  // A call that must not be repeated may complete after its deadline, but a target that hangs must
+  // not occupy its slot forever.
   const Duration extra = attempt.repeatable ? Duration{} : kOverdueLimit;
   if (attempt.state == State::kRunning) {
     if (attempt.deadline && *attempt.deadline + extra <= now) {
       Cut(context, key, attempt, "deadline passed");
-    } else if (lost && attempt.repeatable) {
+    } else if (entryLost && attempt.repeatable) {
       Cut(context, key, attempt, "entry did not return");
     }
   }
   Deliver(context, key, attempt);
-  return attempt.state == State::kEnded && now - attempt.lastContact >= kHoldFor;
+  return attempt.state == State::kEnded && now - attempt.lastContact >= kOutputRetention;
 }
 
 } // namespace gooseberrysail
--- a/src/agent/request_start.cpp
+++ b/src/agent/request_start.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-/// \file Starting of requests: what may run, what waits, what is refused before its start.
+/// \file Start of requests: which ones run, are queued, or are refused before they start.
 
 namespace gooseberrysail {
 
@@ -13,8 +13,9 @@
 constexpr double kShortestWaitMillis = 50;
 constexpr double kLongestWaitMillis = 30000;
 
-/// Conditions that pass by themselves; with the others only another target helps.
-bool Passing(GateReason reason) noexcept
+/// Transient conditions, after which a retry here may succeed. With all others the request needs
+/// another target.
+bool IsTransient(GateReason reason) noexcept
 {
   return reason == GateReason::kMemberMissing || reason == GateReason::kLeaseEnded ||
          reason == GateReason::kUnconfirmed || reason == GateReason::kWeightsNotLoaded ||
@@ -23,7 +24,7 @@
 
 Duration RetryAfter(const GateState& gate) noexcept
 {
-  return Passing(gate.reason) ? kGateRetry : Duration{};
+  return IsTransient(gate.reason) ? kGateRetry : Duration{};
 }
 
 AttemptKey KeyOf(const std::string& request, std::uint32_t attempt)
@@ -46,24 +47,24 @@
 {
   const AttemptKey key = KeyOf(start.request, start.attempt);
   if (Incarnation(start.agentIncarnation) != m_incarnation) {
-    // Meant for our predecessor, which may have run it before it died: running it here could be
-    // a second run, and "never started" would be a guess.
+    // Sent to an earlier incarnation, which may have run it. Running it here could run it twice,
+    // and whether it started is unknown.
     SendUnknown(context, frame.peer, key);
     return;
   }
   const auto row = m_attempts.find(key);
   if (row != m_attempts.end()) {
-    // The same frame again, over a new connection: it must not run a second time.
+    // The same frame, repeated over a new connection: the request must not run twice.
     Attempt& attempt = row->second;
     attempt.entryIncarnation = frame.incarnation;
-    attempt.lostAt.reset();
+    attempt.disconnectedAt.reset();
     if (!std::exchange(attempt.connected, true)) {
       Replay(context, key, attempt, attempt.output.FirstOffset());
     }
     return;
   }
-  if (m_ledger.Find(key) || m_ledger.MayHaveForgotten(key.request)) {
-    AnswerKnown(context, frame.peer, key);
+  if (m_ledger.Find(key) || m_ledger.MayHaveEvicted(key.request)) {
+    AnswerFinished(context, frame.peer, key);
     return;
   }
   if (!m_hooks.holds(GroupId(start.group), Epoch(start.epoch))) {
@@ -79,21 +80,22 @@
   Enqueue(context, frame, start, key);
 }
 
-void RequestSystem::AnswerKnown(impl::AgentContext& context,
-                                const ProcessId& peer,
-                                const AttemptKey& key)
+void RequestSystem::AnswerFinished(impl::AgentContext& context,
+                                   const ProcessId& peer,
+                                   const AttemptKey& key)
 {
-  const auto verdict = m_ledger.Find(key);
-  if (verdict == Verdict::kNeverStarted) {
+  const auto outcome = m_ledger.Find(key);
+  if (outcome == AttemptOutcome::kNeverStarted) {
     SendRefused(context, peer, key, "refused or sealed before", Duration{});
     return;
   }
-  if (verdict == Verdict::kStarted) {
+  if (outcome == AttemptOutcome::kStarted) {
     SendCutNotice(context, peer, key, 0, "already ran; its answer is no longer held");
     return;
   }
-  if (m_ledger.MayHaveForgotten(key.request)) {
-    // Asking further leads nowhere: whether it ran is not known here any more, and never will be.
+  if (m_ledger.MayHaveEvicted(key.request)) {
+    // The record was evicted, so that whether the request ran can never be known here. The cut
+    // stops the entry from querying further.
     SendCutNotice(context, peer, key, 0, "the record of it was dropped; whether it ran is unknown");
     return;
   }
@@ -117,7 +119,7 @@
                             const AttemptKey& key)
 {
   const bool slotFree = m_queue.Size() == 0 && m_running < m_hooks.limits().maxConcurrent;
-  if (!slotFree && !MakeRoom(context, start.priority)) {
+  if (!slotFree && !MakeQueueRoom(context, start.priority)) {
     Refuse(context, frame.peer, key, "queue full", ExpectedWait());
     return;
   }
@@ -143,15 +145,15 @@
   attempt.call = std::move(call);
   m_attempts.emplace(key, std::move(attempt));
   m_queue.Push(start.priority, key);
-  StartWaiting(context);
+  StartQueued(context);
 }
 
-bool RequestSystem::MakeRoom(impl::AgentContext& context, std::uint8_t priority)
+bool RequestSystem::MakeQueueRoom(impl::AgentContext& context, std::uint8_t priority)
 {
   if (m_queue.Size() < m_hooks.limits().maxQueued) {
     return true;
   }
-  // Urgent work doesn't wait outside behind work that can: the least urgent goes elsewhere.
+  // A more urgent request displaces the least urgent one, whose entry sends it to another group.
   const auto displaced = m_queue.Displaceable(priority);
   if (!displaced) {
     return false;
@@ -160,7 +162,7 @@
   return true;
 }
 
-void RequestSystem::StartWaiting(impl::AgentContext& context)
+void RequestSystem::StartQueued(impl::AgentContext& context)
 {
   while (m_running < m_hooks.limits().maxConcurrent && m_hooks.gate(context.Now()).Open()) {
     const auto key = m_queue.Front();
@@ -173,7 +175,7 @@
       continue;
     }
     if (!attempt.connected) {
-      // Its entry may be asking another target by now; unstarted, it can still be sealed.
+      // The entry may already have sent it to another target. Not started, it can still be sealed.
       RefuseQueued(context, *key, "entry lost while queued");
       continue;
     }
@@ -221,8 +223,8 @@
                            const std::string& reason,
                            Duration retryAfter)
 {
-  // Noted before it is said: the same frame arriving again late must not start it after all.
-  m_ledger.Note(context.Now(), key, Verdict::kNeverStarted);
+  // Recorded before the reply is sent: a late duplicate of the frame must not start the request.
+  m_ledger.Record(context.Now(), key, AttemptOutcome::kNeverStarted);
   SendRefused(context, peer, key, reason, retryAfter);
   context.Emit(EventNumber::kRequestRefused,
                { { "request", key.request.Get() },
@@ -250,28 +252,28 @@
 Duration RequestSystem::ExpectedWait() const
 {
   const double slots = std::max<double>(1, m_hooks.limits().maxConcurrent);
-  const double millis = m_serviceMillis * static_cast<double>(m_queue.Size() + 1) / slots;
+  const double millis = m_meanServiceMillis * static_cast<double>(m_queue.Size() + 1) / slots;
   const double bounded = std::clamp(millis, kShortestWaitMillis, kLongestWaitMillis);
   return std::chrono::milliseconds(static_cast<std::int64_t>(bounded));
 }
 
-wire::SealResult RequestSystem::SealOwn(TimePoint now, const AttemptKey& key)
+wire::SealResult RequestSystem::SealAttempt(TimePoint now, const AttemptKey& key)
 {
   const auto row = m_attempts.find(key);
   if (row != m_attempts.end() && row->second.state != State::kQueued) {
     return wire::SealResult::Started;
   }
-  const auto verdict = m_ledger.Find(key);
-  const bool unsure = !verdict && m_ledger.MayHaveForgotten(key.request);
-  if (verdict == Verdict::kStarted || (unsure && row == m_attempts.end())) {
+  const auto outcome = m_ledger.Find(key);
+  const bool mayBeEvicted = !outcome && m_ledger.MayHaveEvicted(key.request);
+  if (outcome == AttemptOutcome::kStarted || (mayBeEvicted && row == m_attempts.end())) {
     return wire::SealResult::Started;
   }
   if (row != m_attempts.end()) {
     m_queue.Remove(key);
     m_attempts.erase(row);
   }
-  // Noted before it is said: the Start may still be under way.
-  m_ledger.Note(now, key, Verdict::kNeverStarted);
+  // Recorded before the reply is sent: the Start may still arrive.
+  m_ledger.Record(now, key, AttemptOutcome::kNeverStarted);
   return wire::SealResult::Sealed;
 }
 
@@ -283,8 +285,9 @@
   wire::SealReplyT reply;
   reply.request = seal.request;
   reply.attempt = seal.attempt;
-  const bool ours = Incarnation(seal.agentIncarnation) == m_incarnation;
-  reply.result = ours ? SealOwn(context.Now(), key) : wire::SealResult::WrongIncarnation;
+  const bool sameIncarnation = Incarnation(seal.agentIncarnation) == m_incarnation;
+  reply.result =
+    sameIncarnation ? SealAttempt(context.Now(), key) : wire::SealResult::WrongIncarnation;
   context.Send(frame.peer, "", reply);
   context.Emit(EventNumber::kRequestSealed,
                { { "request", seal.request },
@@ -296,21 +299,21 @@
 {
   const GateState gate = m_hooks.gate(context.Now());
   if (gate.Open()) {
-    m_closedSince.reset();
+    m_gateClosedSince.reset();
   } else {
-    m_closedSince = m_closedSince.value_or(context.Now());
-    if (!Passing(gate.reason) || context.Now() - *m_closedSince >= kQueuePatience) {
+    m_gateClosedSince = m_gateClosedSince.value_or(context.Now());
+    if (!IsTransient(gate.reason) || context.Now() - *m_gateClosedSince >= kQueueGateTimeout) {
       RefuseAllQueued(context, ToString(gate));
     }
   }
-  const GateState whole = m_hooks.whole(context.Now());
-  if (whole.Open()) {
-    m_brokenSince.reset();
+  const GateState groupIntact = m_hooks.groupIntact(context.Now());
+  if (groupIntact.Open()) {
+    m_groupBrokenSince.reset();
     return;
   }
-  m_brokenSince = m_brokenSince.value_or(context.Now());
-  if (context.Now() - *m_brokenSince >= kWithholdGrace) {
-    CutRunning(context, ToString(whole));
+  m_groupBrokenSince = m_groupBrokenSince.value_or(context.Now());
+  if (context.Now() - *m_groupBrokenSince >= kWithholdGrace) {
+    CutRunning(context, ToString(groupIntact));
   }
 }
 
--- a/src/agent/start_queue.cpp
+++ b/src/agent/start_queue.cpp
@@ -4,19 +4,19 @@
 
 void StartQueue::Push(std::uint8_t priority, const AttemptKey& key)
 {
-  const Place place{ priority, ++m_arrivals };
-  m_waiting.emplace(place, key);
-  m_places.emplace(key, place);
+  const Position position{ priority, ++m_arrivals };
+  m_waiting.emplace(position, key);
+  m_positions.emplace(key, position);
 }
 
 bool StartQueue::Remove(const AttemptKey& key)
 {
-  const auto place = m_places.find(key);
-  if (place == m_places.end()) {
+  const auto position = m_positions.find(key);
+  if (position == m_positions.end()) {
     return false;
   }
-  m_waiting.erase(place->second);
-  m_places.erase(place);
+  m_waiting.erase(position->second);
+  m_positions.erase(position);
   return true;
 }
 
--- a/src/agent/target_probe.cpp
+++ b/src/agent/target_probe.cpp
@@ -29,13 +29,13 @@
 void TargetProbe::Tick(impl::AgentContext& context)
 {
   const TimePoint now = context.Now();
-  if (m_exchange || (m_lastAsked && now - *m_lastAsked < kInterval)) {
+  if (m_exchange || (m_lastProbeAt && now - *m_lastProbeAt < kInterval)) {
     return;
   }
   m_exchange = context.Call("GET", "/health", {}, "", kTimeout);
-  m_askedAt = now;
-  m_lastAsked = now;
-  m_stale = false;
+  m_probeSentAt = now;
+  m_lastProbeAt = now;
+  m_predatesOrder = false;
   m_httpStatus = 0;
   m_body.clear();
 }
@@ -56,9 +56,9 @@
   }
   m_exchange.reset();
   if (m_httpStatus == kHttpOk) {
-    m_status.aliveAskedAt = m_askedAt;
-    if (!m_stale) {
-      Read(m_body);
+    m_status.aliveAsOf = m_probeSentAt;
+    if (!m_predatesOrder) {
+      ParseStatus(m_body);
     }
   }
   return true;
@@ -75,25 +75,25 @@
 
 bool TargetProbe::Alive(TimePoint now) const noexcept
 {
-  return m_status.aliveAskedAt && now - *m_status.aliveAskedAt < kFresh;
+  return m_status.aliveAsOf && now - *m_status.aliveAsOf < kMaxAge;
 }
 
-void TargetProbe::OnOrdered(std::string model, std::string version)
+void TargetProbe::OnOrderCompleted(std::string model, std::string version)
 {
   m_status.model = std::move(model);
   m_status.version = std::move(version);
   m_status.loading = false;
-  // The answer to an open probe may have been written before the order took effect.
-  m_stale = true;
+  // The answer to a pending probe may predate the effect of the order.
+  m_predatesOrder = true;
 }
 
-void TargetProbe::Read(const std::string& body)
+void TargetProbe::ParseStatus(const std::string& body)
 {
   boost::system::error_code failed;
   const boost::json::value parsed = boost::json::parse(body, failed);
   const auto* object = failed ? nullptr : parsed.if_object();
   if (object == nullptr) {
-    return; // Plain services may answer anything; being alive is all that is asked of them.
+    return; // Plain services may answer with any body; only the status code matters.
   }
   m_status.model = TextField(*object, "model");
   m_status.version = TextField(*object, "version");
--- a/tests/support/agent_harness.cpp
+++ b/tests/support/agent_harness.cpp
@@ -102,17 +102,17 @@
     if (onOutput) {
       onOutput(m_now, output);
     }
-    Take(output);
+    Handle(output);
   }
 }
 
-void AgentHarness::Take(const AgentOutput& output)
+void AgentHarness::Handle(const AgentOutput& output)
 {
   if (const auto* frame = std::get_if<FrameOut>(&output)) {
     m_sent.push_back(*frame);
-    TakeFrame(*frame);
+    HandleFrame(*frame);
   } else if (const auto* call = std::get_if<TargetCallOut>(&output)) {
-    TakeCall(*call);
+    HandleCall(*call);
   } else if (const auto* cancel = std::get_if<TargetCancelOut>(&output)) {
     for (TargetCall& each : m_calls) {
       each.cancelled = each.cancelled || each.exchange == cancel->exchange;
@@ -124,7 +124,7 @@
   }
 }
 
-void AgentHarness::TakeFrame(const FrameOut& frame)
+void AgentHarness::HandleFrame(const FrameOut& frame)
 {
   const auto& body = frame.envelope->body;
   const auto reply = [this, &frame](auto message) {
@@ -195,7 +195,7 @@
   m_inbox.push_back(TargetAnswerIn{ exchange, status, {}, std::move(body), true });
 }
 
-void AgentHarness::TakeCall(const TargetCallOut& call)
+void AgentHarness::HandleCall(const TargetCallOut& call)
 {
   if (call.path == "/health") {
     if (targetAlive) {
@@ -211,7 +211,7 @@
     return;
   }
   if (call.path.starts_with("/orders/")) {
-    TakeOrder(call);
+    HandleOrder(call);
     return;
   }
   if (call.path.starts_with("/cache_events")) {
@@ -225,7 +225,7 @@
   m_calls.push_back(TargetCall{ call.exchange, request, call.path, call.body, false });
 }
 
-void AgentHarness::TakeOrder(const TargetCallOut& call)
+void AgentHarness::HandleOrder(const TargetCallOut& call)
 {
   m_orders.push_back(call.path + " " + call.body);
   const auto body = boost::json::parse(call.body).as_object();
--- a/tests/support/agent_harness.hpp
+++ b/tests/support/agent_harness.hpp
@@ -17,11 +17,8 @@
 
 namespace gooseberrysail::test {
 
-/// \brief One agent under scripted time, with everything round it played: control, entries, the
-/// other members' agents and the target.
-/// \code
-/// AgentHarness agent;
-/// agent.FormGroup(7);
+/// \brief One agent under simulated time, with simulated peers: control, entries, the other
+/// members' agents and the target. \code AgentHarness agent; agent.FormGroup(7);
 /// agent.Start("entry-1.1.1");
 /// agent.AnswerCall("entry-1.1.1", "hello", true);
 /// \endcode
@@ -40,29 +37,29 @@
   AgentHarness();
   explicit AgentHarness(Shape shape);
 
-  // What the surroundings do by themselves.
+  // Automatic behaviour of the simulated peers.
   bool controlAnswersConfig = true;
   bool controlGrantsLease = true;
   bool targetAlive = true;
   bool engineIgnoresFencing = false;
   bool engineAnswersOrders = true;
-  std::set<std::string> silentMembers; ///< VMs whose agents don't answer beats.
+  std::set<std::string> silentMembers; ///< VMs whose agents don't answer heartbeats.
   std::set<std::string> leavingMembers;
   PolicySpec policy;
   std::string drainingVm;
-  std::string assignedVersion = "2026-11"; ///< Of the weights that Assign asks for.
-  std::string cacheEvents;                 ///< The engine's answer to that path; "": it has none.
-  std::uint64_t catalogueVersion = 1;      ///< What control says is the newest.
+  std::string assignedVersion = "2026-11"; ///< Weights version in Assign.
+  std::string cacheEvents;                 ///< The engine's answer to /cache_events; "": 404.
+  std::uint64_t catalogueVersion = 1;      ///< Newest version, as control reports it.
 
-  /// \brief Ticks every 50 ms, with the surroundings answering.
+  /// \brief Advances time in ticks of 50 ms; the simulated peers answer.
   void Advance(Duration duration);
-  /// \brief The process is frozen; what its peers sent meanwhile is waiting for it.
+  /// \brief Advances time without ticks, as if the process were frozen; queued inputs stay unread.
   void Pause(Duration duration);
   void Deliver(AgentInput input);
-  /// \brief A moment passes, answers are taken in.
+  /// \brief Runs one tick, so that pending answers are processed.
   void Settle() { Advance(std::chrono::milliseconds(50)); }
 
-  /// \brief Assigns the group `epoch` and waits until its gate opened.
+  /// \brief Assigns the group with `epoch` and gives its gate time to open.
   void FormGroup(std::uint64_t epoch, const std::string& head = "vm-1");
   void Assign(std::uint64_t epoch, const std::string& head = "vm-1", std::uint64_t group = 5);
   void Release(std::uint64_t epoch, std::uint32_t graceMillis, std::uint64_t group = 5);
@@ -91,7 +88,7 @@
     Deliver(FrameIn{ ProcessId(peer), Incarnation(incarnation), MakeEnvelope(std::move(message)) });
   }
 
-  // The target's side of requests.
+  // Requests as the target receives them.
   struct TargetCall
   {
     ExchangeId exchange;
@@ -111,7 +108,7 @@
                   bool first = true);
   void FailCall(const std::string& request, bool neverSent);
   [[nodiscard]] const std::vector<std::string>& Orders() const noexcept { return m_orders; }
-  /// \brief The order that waits for its answer with `engineAnswersOrders` off.
+  /// \brief The unanswered order, if `engineAnswersOrders` is false.
   [[nodiscard]] std::optional<ExchangeId> OpenOrder() const noexcept { return m_openOrder; }
   void FailOpenOrder();
   void FinishLoad();
@@ -119,8 +116,8 @@
   std::string engineVersion;
   bool engineLoading = false;
 
-  // What the agent said.
-  /// \brief All frames of a kind to a peer ("": to anybody), oldest first.
+  // Output of the agent.
+  /// \brief All frames of a kind to a peer ("": to any peer), oldest first.
   template<class MessageT>
   [[nodiscard]] std::vector<const MessageT*> Sent(const std::string& peer = "") const
   {
@@ -140,7 +137,7 @@
     return all.empty() ? nullptr : all.back();
   }
   void ClearSent() { m_sent.clear(); }
-  /// \brief What an entry that takes frames by offset has of an answer.
+  /// \brief An answer as an entry reassembles it from frames by offset.
   struct Received
   {
     std::string bytes;
@@ -152,22 +149,22 @@
   [[nodiscard]] std::string RefusalOf(const std::string& request) const;
   [[nodiscard]] std::size_t Events(EventNumber number) const;
   [[nodiscard]] bool Stopped() const noexcept { return m_stopped; }
-  /// \brief Whether the gate lets a new request through; uses a request id of its own.
+  /// \brief Whether the gate accepts a new request; sends one with a new request id.
   [[nodiscard]] bool Serves();
   [[nodiscard]] std::string LastRefusal() const { return m_lastRefusal; }
   [[nodiscard]] TimePoint Now() const noexcept { return m_now; }
-  /// \brief Called with every output, for session files.
+  /// \brief Called with every output, to record sessions.
   std::function<void(TimePoint, const AgentOutput&)> onOutput;
   std::function<void(TimePoint, const AgentInput&)> onInput;
-  std::function<void()> beforeTick; ///< Round the role's own work, for measurements.
+  std::function<void()> beforeTick; ///< Called around the role's Tick, for measurements.
   std::function<void()> afterTick;
 
 private:
   void Tick();
-  void Take(const AgentOutput& output);
-  void TakeFrame(const FrameOut& frame);
-  void TakeCall(const TargetCallOut& call);
-  void TakeOrder(const TargetCallOut& call);
+  void Handle(const AgentOutput& output);
+  void HandleFrame(const FrameOut& frame);
+  void HandleCall(const TargetCallOut& call);
+  void HandleOrder(const TargetCallOut& call);
   void AnswerConfig(const FrameOut& frame, const wire::ConfigQueryT& query);
   void Answer(ExchangeId exchange, unsigned status, std::string body);
   [[nodiscard]] wire::ConfigStateT Catalogue() const;
--- a/tests/unit/agent_cache_feed_test.cpp
+++ b/tests/unit/agent_cache_feed_test.cpp
@@ -7,9 +7,8 @@
 
 using std::chrono::seconds;
 
-// Symptom: prompts go on being sent to a group for prefixes that it evicted long ago.
-// Sequence: the engine's cache events come with a gap; the engine begins anew.
-// Cause: an event that was lost may have been a removal, and a restarted engine holds nothing.
+// Events lost in a gap may have been removals, and a restarted engine has an empty cache. Unless
+// entries learn of both, they keep sending prompts for prefixes that the group has evicted.
 TEST(AgentCacheFeed, PassesEventsOnAndShowsGapsAndRestarts)
 {
   AgentHarness agent;
@@ -23,7 +22,7 @@
   EXPECT_EQ(first->sequence, 1U);
   EXPECT_TRUE(first->reset) << "a new group starts from nothing";
   EXPECT_EQ(first->added, (std::vector<std::uint64_t>{ 11, 12 }));
-  SECTION("events that were seen are not passed on again")
+  SECTION("events that were already reported are not sent again")
   {
     agent.Advance(seconds(2));
     EXPECT_EQ(agent.Sent<wire::CacheReportT>().size(), 1U);
@@ -36,7 +35,7 @@
     EXPECT_EQ(agent.Last<wire::CacheReportT>()->removed, std::vector<std::uint64_t>{ 11 });
     EXPECT_FALSE(agent.Last<wire::CacheReportT>()->reset);
   }
-  SECTION("an engine that began anew is told as a reset")
+  SECTION("a restart of the engine is reported as a reset")
   {
     agent.cacheEvents = R"({"latest":1,"events":[{"sequence":1,"block":30,"kind":"added"}]})";
     agent.Advance(seconds(2));
--- a/tests/unit/agent_gate_test.cpp
+++ b/tests/unit/agent_gate_test.cpp
@@ -8,7 +8,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-TEST(AgentGate, ServesOnceEverythingItNeedsIsThere)
+TEST(AgentGate, ServesOnceAllConditionsAreMet)
 {
   AgentHarness agent;
   SECTION("without a group it refuses")
@@ -24,7 +24,7 @@
     EXPECT_EQ(announce->vm, "vm-1");
     EXPECT_EQ(announce->accelerators, 2U);
   }
-  SECTION("assigned, it orders its engine, hears its members, gets the lease and serves")
+  SECTION("once assigned, it loads the weights, receives heartbeats and the lease, and serves")
   {
     agent.FormGroup(7);
     const auto* reply = agent.Last<wire::AssignReplyT>();
@@ -39,9 +39,8 @@
   }
 }
 
-// Symptom: a replica answers although one of its machines is dead.
-// Sequence: a member's agent falls silent while the group serves.
-// Cause: a gate that looks at a member's state only now and then goes on with the last one.
+// A member's agent stops answering while the group serves. The gate must use the age of the last
+// reply at each request, or the group would serve with a dead machine.
 TEST(AgentGate, ClosesWithinTheTimeoutWhenAMemberIsMissingAndOpensOnItsReturn)
 {
   AgentHarness agent;
@@ -56,33 +55,30 @@
   EXPECT_TRUE(agent.Serves()) << agent.LastRefusal();
 }
 
-// Symptom: after its VM was suspended for half a minute, a head serves the next request although
-// control gave its members to another group meanwhile.
-// Sequence: the group serves; the process freezes; beats, a lease grant and a confirmation arrived
-// in its buffers before and during the freeze; on waking up the first thing it reads is a Start.
-// Cause: a gate closed by a timer is still open when the process wakes up, and beats or leases
-// counted from their arrival look fresh then.
-TEST(AgentGate, AfterAPauseItIsClosedAtTheMomentOfUse)
+// The VM is suspended for 30 s, in which control may assign its members to another group. On resume
+// the first input is a Start, and heartbeats, a lease grant and a confirmation wait in buffers. A
+// gate closed only by a timer, or leases counted from their arrival, would still let the request
+// through.
+TEST(AgentGate, IsClosedAtFirstUseAfterAPause)
 {
   AgentHarness agent;
   agent.FormGroup(7);
   ASSERT_TRUE(agent.Serves());
   agent.Advance(milliseconds(300));
-  // What the harness queued as answers is still unread: it waits through the pause.
+  // Answers that the harness has queued stay unread during the pause.
   agent.Pause(seconds(30));
   EXPECT_FALSE(agent.Serves());
   EXPECT_TRUE(agent.LastRefusal().starts_with("member missing")) << agent.LastRefusal();
-  SECTION("and it opens again only by new answers")
+  SECTION("it reopens only after new answers")
   {
     agent.Advance(seconds(1));
     EXPECT_TRUE(agent.Serves()) << agent.LastRefusal();
   }
 }
 
-// Symptom: two groups serve with one VM.
-// Sequence: the head is cut off from control, but not from its members; control waits the lease
-// out and gives a member to another group.
-// Cause: without a lease of its own the head can't know that control gave it up.
+// The head loses its connection to control but not to its members. Control waits until the lease
+// has expired and assigns a member to another group; the head must have stopped by then, or two
+// groups would serve with one VM.
 TEST(AgentGate, ClosesWhenTheLeaseEndsCountedFromTheReport)
 {
   AgentHarness agent;
@@ -94,10 +90,8 @@
   EXPECT_EQ(agent.LastRefusal(), "group lease ended");
 }
 
-// Symptom: a process cut off from control serves by limits that were changed long ago.
-// Sequence: control grants leases and says that there is a newer version, but the changes don't get
-// through; members and lease are fine.
-// Cause: a copy of the catalogue doesn't show its age.
+// Control grants leases and announces a newer version, but the changes don't arrive. Without a
+// limit on the age of the confirmation, the agent would serve with outdated limits.
 TEST(AgentGate, RefusesWhenTheConfigurationIsNotConfirmed)
 {
   AgentHarness agent;
@@ -123,9 +117,8 @@
   EXPECT_TRUE(agent.Serves()) << agent.LastRefusal();
 }
 
-// Symptom: a VM follows an order of a control process that lost its leadership long ago.
-// Sequence: epoch 9 is accepted; an Assign of epoch 8, delayed on its way, arrives.
-// Cause: frames of two control processes travel on two connections and may cross.
+// Frames of two control processes use separate connections and may arrive out of order: an Assign
+// of epoch 8 from a former leader arrives after epoch 9 was accepted.
 TEST(AgentGate, RefusesEpochsBelowTheHighestAccepted)
 {
   AgentHarness agent;
@@ -139,13 +132,13 @@
     agent.Assign(9, "vm-1", 6);
     EXPECT_FALSE(agent.Last<wire::AssignReplyT>()->accepted);
   }
-  SECTION("the held one sent again is accepted again and changes nothing")
+  SECTION("the current assignment, sent again, is accepted and changes nothing")
   {
     agent.Assign(9);
     EXPECT_TRUE(agent.Last<wire::AssignReplyT>()->accepted);
     EXPECT_TRUE(agent.Serves()) << agent.LastRefusal();
   }
-  SECTION("an Assign that its Release overtook is refused")
+  SECTION("an Assign that arrives after its Release is refused")
   {
     agent.Release(12, 0, 8);
     agent.Assign(12, "vm-1", 8);
@@ -153,9 +146,8 @@
   }
 }
 
-// Symptom: the caller of a dissolved group gets the rest of an answer made by half a group.
-// Sequence: a request streams; a higher epoch is assigned.
-// Cause: the engine knows nothing of epochs and goes on.
+// A request streams when a higher epoch is assigned. The engine doesn't track epochs and
+// continues, so that the caller would get output of an incomplete group.
 TEST(AgentGate, ANewEpochCutsTheFormerEpochsRequestsAtOnce)
 {
   AgentHarness agent;
@@ -168,7 +160,7 @@
   EXPECT_EQ(received.bytes, "first ");
   EXPECT_TRUE(received.ended);
   EXPECT_EQ(received.cutReason, "group epoch superseded");
-  SECTION("and a Start for the former epoch is refused")
+  SECTION("a Start for the former epoch is refused")
   {
     AgentHarness::StartOptions old;
     old.epoch = 7;
@@ -177,9 +169,8 @@
   }
 }
 
-// Symptom: a caller gets text that a broken replica made up.
-// Sequence: a member dies while an answer streams; the engine goes on for a while.
-// Cause: engines notice a lost rank late.
+// A member dies while an answer streams. Engines detect a lost rank late and continue for a while,
+// so that the caller would get invalid output.
 TEST(AgentGate, OutputIsWithheldWhileAMemberIsMissing)
 {
   AgentHarness agent;
@@ -191,7 +182,7 @@
   agent.AnswerCall("entry-1.1.1", "broken ", false, false);
   EXPECT_EQ(agent.ReceivedOf("entry-1.1.1").bytes, "whole ");
 
-  SECTION("past the grace the request is cut with the reason, without the withheld part")
+  SECTION("after the grace period the request is cut with the reason, without the withheld output")
   {
     agent.Advance(RequestSystem::kWithholdGrace);
     const auto received = agent.ReceivedOf("entry-1.1.1");
@@ -219,11 +210,10 @@
   EXPECT_EQ(received.cutReason, "");
 }
 
-// Symptom: a VM counts as present in two groups for a moment.
-// Sequence: it vouched for the head of epoch 7 just before it accepted epoch 8, where another VM
-// is head and asks at once.
-// Cause: the former head goes on counting on the last answer for a member timeout.
-TEST(AgentGate, AMemberVouchesForANewHeadOnlyWhenTheFormerCanNoLongerCountOnIt)
+// The VM answers the head of epoch 7 just before it accepts epoch 8, whose head sends a request at
+// once. The former head relies on the last reply for a member timeout; an answer to the new head in
+// that time would count the VM in two groups.
+TEST(AgentGate, AMemberAnswersANewHeadOnlyAfterTheFormerHeadsTimeout)
 {
   AgentHarness agent;
   agent.Advance(milliseconds(500));
@@ -246,10 +236,9 @@
   EXPECT_TRUE(ask(8));
 }
 
-// Symptom: the engine of a member is dead, its agent lives, and the group serves.
-// Sequence: the engine stops answering probes.
-// Cause: the agent's life says nothing about the engine's.
-TEST(AgentGate, AnAgentVouchesForItsEngineOnlyWhileItAnswers)
+// A member's engine stops answering probes while its agent runs. The agent must report this, or the
+// group would serve with a dead engine.
+TEST(AgentGate, AnAgentReportsItsEngineAliveOnlyWhileItAnswers)
 {
   AgentHarness agent;
   agent.Advance(milliseconds(500));
--- a/tests/unit/agent_heartbeats_test.cpp
+++ b/tests/unit/agent_heartbeats_test.cpp
@@ -21,50 +21,49 @@
                        { VmId("vm-2"), ProcessId("agent-vm-2"), "" } } };
 }
 
-// Symptom: a member that died half a minute ago counts as present.
-// Sequence: its reply waits in a buffer, of a frozen process or a slow path, and is read late.
-// Cause: the time at which a reply is read says nothing about when it was true.
-TEST(BeatTable, ABeatCountsFromWhenItWasAsked)
+// A reply may be read long after it was sent, because it was buffered on a slow path or while this
+// process was frozen. If it counted from its arrival, a dead member would count as alive.
+TEST(HeartbeatTable, AReplyCountsFromTheTimeOfItsRequest)
 {
-  BeatTable beats;
-  beats.Begin(TwoMembers());
-  beats.OnAsked(kStart, 1);
-  beats.OnAsked(kStart + seconds(30), 2);
-  EXPECT_TRUE(beats.OnReply(VmId("vm-2"), 1, true, true, false));
-  EXPECT_EQ(beats.Rows()[1].askedAt, kStart);
-  SECTION("a later round counts more, and an earlier one read after it changes nothing")
+  HeartbeatTable heartbeats;
+  heartbeats.Begin(TwoMembers());
+  heartbeats.OnRequestSent(kStart, 1);
+  heartbeats.OnRequestSent(kStart + seconds(30), 2);
+  EXPECT_TRUE(heartbeats.OnReply(VmId("vm-2"), 1, true, true, false));
+  EXPECT_EQ(heartbeats.Rows()[1].aliveAsOf, kStart);
+  SECTION("a later reply replaces an earlier one, and a reply to an older request is ignored")
   {
-    EXPECT_TRUE(beats.OnReply(VmId("vm-2"), 2, true, true, false));
-    EXPECT_TRUE(beats.OnReply(VmId("vm-2"), 1, true, false, false));
-    EXPECT_EQ(beats.Rows()[1].askedAt, kStart + seconds(30));
-    EXPECT_TRUE(beats.Rows()[1].weightsLoaded);
+    EXPECT_TRUE(heartbeats.OnReply(VmId("vm-2"), 2, true, true, false));
+    EXPECT_TRUE(heartbeats.OnReply(VmId("vm-2"), 1, true, false, false));
+    EXPECT_EQ(heartbeats.Rows()[1].aliveAsOf, kStart + seconds(30));
+    EXPECT_TRUE(heartbeats.Rows()[1].weightsLoaded);
   }
 }
 
-TEST(BeatTable, RepliesOfUnknownRoundsStrangersAndDeadEnginesDoNotCount)
+TEST(HeartbeatTable, RepliesToUnknownRequestsOfNonMembersAndDeadEnginesDoNotCount)
 {
-  BeatTable beats;
-  beats.Begin(TwoMembers());
-  beats.OnAsked(kStart, 1);
-  EXPECT_FALSE(beats.OnReply(VmId("vm-2"), 9, true, true, false));
-  EXPECT_FALSE(beats.OnReply(VmId("vm-9"), 1, true, true, false));
-  EXPECT_TRUE(beats.OnReply(VmId("vm-2"), 1, false, true, false));
-  EXPECT_FALSE(beats.Rows()[1].askedAt.has_value());
+  HeartbeatTable heartbeats;
+  heartbeats.Begin(TwoMembers());
+  heartbeats.OnRequestSent(kStart, 1);
+  EXPECT_FALSE(heartbeats.OnReply(VmId("vm-2"), 9, true, true, false));
+  EXPECT_FALSE(heartbeats.OnReply(VmId("vm-9"), 1, true, true, false));
+  EXPECT_TRUE(heartbeats.OnReply(VmId("vm-2"), 1, false, true, false));
+  EXPECT_FALSE(heartbeats.Rows()[1].aliveAsOf.has_value());
 }
 
-TEST(BeatTable, ANewEpochStartsWithoutTheFormersBeats)
+TEST(HeartbeatTable, ANewEpochStartsWithoutTheFormerReplies)
 {
-  BeatTable beats;
-  beats.Begin(TwoMembers());
-  beats.OnAsked(kStart, 1);
-  EXPECT_TRUE(beats.OnReply(VmId("vm-2"), 1, true, true, false));
-  beats.Begin(TwoMembers());
-  EXPECT_FALSE(beats.Rows()[1].askedAt.has_value());
-  EXPECT_FALSE(beats.OnReply(VmId("vm-2"), 1, true, true, false));
-  EXPECT_TRUE(beats.Due(kStart));
+  HeartbeatTable heartbeats;
+  heartbeats.Begin(TwoMembers());
+  heartbeats.OnRequestSent(kStart, 1);
+  EXPECT_TRUE(heartbeats.OnReply(VmId("vm-2"), 1, true, true, false));
+  heartbeats.Begin(TwoMembers());
+  EXPECT_FALSE(heartbeats.Rows()[1].aliveAsOf.has_value());
+  EXPECT_FALSE(heartbeats.OnReply(VmId("vm-2"), 1, true, true, false));
+  EXPECT_TRUE(heartbeats.Due(kStart));
 }
 
-TEST(NonceRing, RemembersTheLatestQuestionsOnly)
+TEST(NonceRing, KeepsOnlyTheLatestQueries)
 {
   impl::NonceRing ring;
   EXPECT_FALSE(ring.SentAt(0).has_value());
--- a/tests/unit/agent_leaving_test.cpp
+++ b/tests/unit/agent_leaving_test.cpp
@@ -8,9 +8,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Symptom: rolling out a new agent cuts the answers that were streaming.
-// Sequence: SIGTERM arrives while a request streams and entries go on sending work.
-// Cause: a process that stops at once takes its requests with it.
+// SIGTERM arrives while a request streams and entries keep sending requests, as during a rollout.
+// If the process stopped at once, it would cut the streaming answers.
 TEST(AgentLeaving, AStoppingHeadRefusesNewWorkAndFinishesWhatRuns)
 {
   AgentHarness agent;
@@ -18,7 +17,7 @@
   agent.Start("entry-1.1.1");
   agent.AnswerCall("entry-1.1.1", "first ", false);
   agent.Deliver(StopRequested{});
-  SECTION("control and the entries are told in the same tick")
+  SECTION("control and the entries are informed in the same tick")
   {
     ASSERT_NE(agent.Last<wire::AnnounceT>("control-1"), nullptr);
     EXPECT_TRUE(agent.Last<wire::AnnounceT>("control-1")->leaving);
@@ -32,7 +31,7 @@
     EXPECT_EQ(agent.RefusalOf("entry-1.1.2"), "leaving");
     EXPECT_EQ(agent.RunsOf("entry-1.1.2"), 0U);
   }
-  SECTION("the running answer ends whole, and only then the process stops")
+  SECTION("the running answer completes, and only then the process stops")
   {
     agent.Advance(seconds(20));
     EXPECT_FALSE(agent.Stopped());
@@ -60,9 +59,8 @@
   EXPECT_EQ(agent.RefusalOf("entry-1.1.2"), "leaving");
 }
 
-// Symptom: work goes on being sent to a group one of whose VMs is about to go.
-// Sequence: a member's agent, not the head's, is told to stop; control doesn't answer.
-// Cause: only the head decides about new work, and it hears from control alone.
+// A member's agent is stopping and control doesn't answer. The head decides about new requests, and
+// must learn of this from the member's heartbeat replies.
 TEST(AgentLeaving, TheHeadClosesItsGateForALeavingMember)
 {
   AgentHarness agent;
@@ -86,10 +84,9 @@
   EXPECT_TRUE(agent.Last<wire::LoadReportT>("entry-1")->leaving);
 }
 
-// Symptom: a VM is in a new group while its former head still serves with it.
-// Sequence: control releases the group; a member answers "released" at once.
-// Cause: the head may count on the member's last answer for a member timeout.
-TEST(AgentLeaving, AMemberIsReleasedOnlyWhenItsHeadCanNoLongerCountOnIt)
+// The head may rely on a member's last reply for a member timeout. If the member confirmed its
+// release earlier, it could join a new group while the former head still serves with it.
+TEST(AgentLeaving, AMemberIsReleasedOnlyAfterItsHeadsTimeout)
 {
   AgentHarness agent;
   agent.Advance(milliseconds(500));
@@ -102,13 +99,13 @@
   agent.Release(7, 10000);
   agent.Advance(agent.policy.memberTimeout - milliseconds(100));
   EXPECT_EQ(agent.Last<wire::ReleasedT>(), nullptr);
-  SECTION("while the head drains and asks, the member stays")
+  SECTION("while the head drains and sends requests, the member stays")
   {
     agent.Frame("agent-vm-2", beat);
     agent.Advance(agent.policy.memberTimeout - milliseconds(100));
     EXPECT_EQ(agent.Last<wire::ReleasedT>(), nullptr);
   }
-  SECTION("once the head asks no more, it goes")
+  SECTION("once the head sends no more requests, it leaves")
   {
     agent.Advance(milliseconds(300));
     ASSERT_NE(agent.Last<wire::ReleasedT>(), nullptr);
@@ -133,7 +130,7 @@
   EXPECT_EQ(agent.ReceivedOf("entry-1.1.2").cutReason, "group dissolved");
   EXPECT_TRUE(agent.CallOf("entry-1.1.2")->cancelled);
   EXPECT_NE(agent.Last<wire::ReleasedT>(), nullptr);
-  SECTION("nothing goes on after the release")
+  SECTION("no output is sent after the release")
   {
     agent.AnswerCall("entry-1.1.2", "late", true);
     EXPECT_EQ(agent.ReceivedOf("entry-1.1.2").bytes, "");
@@ -146,10 +143,9 @@
   }
 }
 
-// Symptom: a long answer is cut when the VM of a member is restarted.
-// Sequence: a member's agent gets SIGTERM; its head streams an answer for a minute more.
-// Cause: the member has no request of its own and would stop at once.
-TEST(AgentLeaving, AStoppingMemberStaysWhileItsHeadCountsOnIt)
+// A member's agent gets SIGTERM while its head streams an answer for another minute. The member has
+// no requests of its own; if it stopped at once, that answer would be cut.
+TEST(AgentLeaving, AStoppingMemberStaysWhileItsHeadSendsHeartbeats)
 {
   AgentHarness agent;
   agent.Advance(milliseconds(500));
@@ -170,7 +166,7 @@
   EXPECT_TRUE(agent.Stopped());
 }
 
-TEST(AgentLeaving, AStoppingAgentDoesNotWaitForAControlThatIsGoneForEver)
+TEST(AgentLeaving, AStoppingAgentStopsWaitingForControlAfterATimeout)
 {
   AgentHarness agent;
   agent.FormGroup(7);
--- a/tests/unit/agent_ledger_test.cpp
+++ b/tests/unit/agent_ledger_test.cpp
@@ -7,58 +7,58 @@
 
 constexpr TimePoint kStart{ std::chrono::hours(1) };
 
-AttemptKey Key(std::uint64_t sequence, const std::string& life = "entry-1.17")
+AttemptKey Key(std::uint64_t sequence, const std::string& incarnation = "entry-1.17")
 {
-  return AttemptKey{ RequestId(life + "." + std::to_string(sequence)), 1 };
+  return AttemptKey{ RequestId(incarnation + "." + std::to_string(sequence)), 1 };
 }
 
-// Symptom: a request that ran is told "not run".
-// Sequence: it ran and was forgotten for the ledger's bound; its entry, cut off for long, seals it.
-// Cause: an empty place in a bounded ledger looks like "never seen".
-TEST(RequestLedger, WhatMayHaveBeenForgottenIsNeverClaimed)
+// A request ran and its record was evicted; then its entry, disconnected for long, seals it. A
+// missing record must not be taken for a request that never ran.
+TEST(RequestLedger, NoOutcomeIsReportedForEvictedRecords)
 {
-  RequestLedger ledger({ .lines = 3 });
+  RequestLedger ledger({ .maxRecords = 3 });
   for (std::uint64_t sequence = 1; sequence <= 5; ++sequence) {
-    ledger.Note(kStart, Key(sequence), Verdict::kStarted);
+    ledger.Record(kStart, Key(sequence), AttemptOutcome::kStarted);
   }
   EXPECT_EQ(ledger.Size(), 3U);
   EXPECT_FALSE(ledger.Find(Key(2)).has_value());
-  EXPECT_TRUE(ledger.MayHaveForgotten(Key(2).request));
-  EXPECT_EQ(ledger.Find(Key(5)), Verdict::kStarted);
-  EXPECT_FALSE(ledger.MayHaveForgotten(Key(6).request));
-  SECTION("another life of the entry is not concerned")
+  EXPECT_TRUE(ledger.MayHaveEvicted(Key(2).request));
+  EXPECT_EQ(ledger.Find(Key(5)), AttemptOutcome::kStarted);
+  EXPECT_FALSE(ledger.MayHaveEvicted(Key(6).request));
+  SECTION("another incarnation of the entry is not affected")
   {
-    EXPECT_FALSE(ledger.MayHaveForgotten(Key(1, "entry-1.18").request));
+    EXPECT_FALSE(ledger.MayHaveEvicted(Key(1, "entry-1.18").request));
   }
 }
 
-TEST(RequestLedger, LinesAreForgottenByAge)
+TEST(RequestLedger, RecordsAreEvictedByAge)
 {
-  RequestLedger ledger({ .lines = 100, .keepFor = std::chrono::minutes(10) });
-  ledger.Note(kStart, Key(1), Verdict::kNeverStarted);
+  RequestLedger ledger({ .maxRecords = 100, .retention = std::chrono::minutes(10) });
+  ledger.Record(kStart, Key(1), AttemptOutcome::kNeverStarted);
   ledger.Expire(kStart + std::chrono::minutes(10));
   EXPECT_EQ(ledger.Size(), 1U);
   ledger.Expire(kStart + std::chrono::minutes(11));
   EXPECT_EQ(ledger.Size(), 0U);
-  EXPECT_TRUE(ledger.MayHaveForgotten(Key(1).request));
+  EXPECT_TRUE(ledger.MayHaveEvicted(Key(1).request));
 }
 
-TEST(RequestLedger, TheFirstVerdictStands)
+TEST(RequestLedger, TheFirstOutcomeIsFinal)
 {
   RequestLedger ledger;
-  ledger.Note(kStart, Key(1), Verdict::kNeverStarted);
-  ledger.Note(kStart, Key(1), Verdict::kStarted);
-  EXPECT_EQ(ledger.Find(Key(1)), Verdict::kNeverStarted);
+  ledger.Record(kStart, Key(1), AttemptOutcome::kNeverStarted);
+  ledger.Record(kStart, Key(1), AttemptOutcome::kStarted);
+  EXPECT_EQ(ledger.Find(Key(1)), AttemptOutcome::kNeverStarted);
 }
 
-TEST(RequestLedger, WithTooManyLivesNothingIsClaimedAboutUnknownOnes)
+TEST(RequestLedger, UnknownIncarnationsMayBeEvictedOnceTheLimitIsReached)
 {
-  RequestLedger ledger({ .lines = 1, .origins = 2 });
-  for (int life = 1; life <= 4; ++life) {
-    ledger.Note(kStart, Key(1, "entry-1." + std::to_string(life)), Verdict::kStarted);
+  RequestLedger ledger({ .maxRecords = 1, .maxOrigins = 2 });
+  for (int incarnation = 1; incarnation <= 4; ++incarnation) {
+    ledger.Record(
+      kStart, Key(1, "entry-1." + std::to_string(incarnation)), AttemptOutcome::kStarted);
   }
-  EXPECT_TRUE(ledger.MayHaveForgotten(Key(9, "entry-1.3").request));
-  EXPECT_FALSE(ledger.MayHaveForgotten(Key(9, "entry-1.1").request));
+  EXPECT_TRUE(ledger.MayHaveEvicted(Key(9, "entry-1.3").request));
+  EXPECT_FALSE(ledger.MayHaveEvicted(Key(9, "entry-1.1").request));
 }
 
 TEST(HeldOutput, ReadsFromEveryOffsetThatIsNotAcknowledged)
--- a/tests/unit/agent_orders_test.cpp
+++ b/tests/unit/agent_orders_test.cpp
@@ -36,11 +36,10 @@
   }
 }
 
-// Symptom: a group serves the weights of a former assignment.
-// Sequence: the engine ignores fencing numbers. A load for epoch 7 is on its way when the
-// connection to the engine breaks; epoch 8 is assigned; the engine finishes the old load later.
-// Cause: an order sent while a former one is still worked on can be overtaken by it.
-TEST(AgentOrders, WithAnEngineThatIgnoresFencingOnlyOneOrderIsEverOnItsWay)
+// The engine ignores fencing numbers. The connection breaks during a load for epoch 7, epoch 8 is
+// assigned, and the engine finishes the old load later. An order sent before that could be undone
+// by the older one, and the group would serve the wrong weights.
+TEST(AgentOrders, AnEngineThatIgnoresFencingGetsOneOrderAtATime)
 {
   AgentHarness agent;
   agent.engineIgnoresFencing = true;
@@ -50,19 +49,19 @@
   agent.Advance(seconds(2));
   ASSERT_EQ(agent.Orders().size(), 1U);
   agent.Assign(8);
-  SECTION("while the former order is unanswered, none follows")
+  SECTION("while the former order is unanswered, no other is sent")
   {
     agent.Advance(seconds(20));
     EXPECT_EQ(agent.Orders().size(), 1U);
   }
-  SECTION("after it broke off, none follows until a probe shows the engine idle")
+  SECTION("after it failed, no other is sent until a probe shows the engine idle")
   {
     agent.FailOpenOrder();
     agent.Advance(seconds(20));
     EXPECT_EQ(agent.Orders().size(), 1U);
     EXPECT_FALSE(agent.Serves());
   }
-  SECTION("then the engine is brought to what is wanted now")
+  SECTION("then the engine gets the orders for the current assignment")
   {
     agent.engineAnswersOrders = true;
     agent.FinishLoad();
@@ -72,10 +71,9 @@
   }
 }
 
-// Symptom: a group serves while its engine drops the weights.
-// Sequence: an unload for epoch 7 breaks off; epoch 8 wants what was loaded before it; the latest
-// probe is older than the unload.
-// Cause: what an engine said before an order says nothing about what it holds after it.
+// The connection breaks during an unload for epoch 7, and epoch 8 needs the weights that were
+// loaded before. The latest probe predates the unload; if it counted, the group would serve while
+// its engine drops the weights.
 TEST(AgentOrders, AfterABrokenOrderOnlyALaterProbeCounts)
 {
   AgentHarness agent;
@@ -99,7 +97,7 @@
   EXPECT_TRUE(agent.Serves()) << agent.LastRefusal();
 }
 
-TEST(AgentOrders, AnAgentThatRestartedWaitsForItsPredecessorsOrder)
+TEST(AgentOrders, ARestartedAgentWaitsForAnEarlierOrder)
 {
   AgentHarness agent;
   agent.engineLoading = true;
@@ -112,9 +110,8 @@
   EXPECT_TRUE(agent.Serves()) << agent.LastRefusal();
 }
 
-// Symptom: a group serves although an engine of it restarted and lost its weights.
-// Sequence: the engine comes back empty between two orders.
-// Cause: the answer to an order says nothing about later.
+// An engine restarts between two orders and has no weights loaded. The answer to the last order
+// must not hide this, or the group would serve without weights.
 TEST(AgentOrders, AnEngineThatLostItsWeightsClosesTheGateAndIsLoadedAgain)
 {
   AgentHarness agent;
--- a/tests/unit/agent_requests_test.cpp
+++ b/tests/unit/agent_requests_test.cpp
@@ -14,7 +14,7 @@
   return agent.Last<wire::SealReplyT>()->result;
 }
 
-TEST(AgentRequests, AnAnswerIsForwardedWholeAndForgottenOnceAcknowledged)
+TEST(AgentRequests, AnAnswerIsForwardedCompletelyAndDiscardedOnceAcknowledged)
 {
   AgentHarness agent;
   agent.FormGroup(7);
@@ -31,10 +31,9 @@
   EXPECT_EQ(received.cutReason, "");
 }
 
-// Symptom: a request runs after "not run" was told for it, or runs twice, a quarter of an hour
-// later. Sequence: it was sealed, or ran; the ledger's bound dropped its line; a Start that was
-// stuck on its way arrives. Cause: to a bounded ledger a forgotten request looks new.
-TEST(AgentRequests, AStartThatTheLedgerMayHaveForgottenNeverRuns)
+// A request was sealed, or ran, and its record was evicted; then a delayed Start arrives. If it
+// were taken for a new request, it would run after its client was told "not run", or run twice.
+TEST(AgentRequests, AStartWhoseRecordMayHaveBeenEvictedNeverRuns)
 {
   AgentHarness agent;
   agent.FormGroup(7);
@@ -48,7 +47,7 @@
   EXPECT_EQ(agent.RunsOf("entry-1.1.1"), 0U);
   EXPECT_EQ(agent.RunsOf("entry-1.1.2"), 1U);
   EXPECT_EQ(SealOf(agent, "entry-1.1.2"), wire::SealResult::Started);
-  SECTION("and a Resume ends the asking with a cut")
+  SECTION("a Resume is answered with a cut, so that the entry stops asking")
   {
     agent.ClearSent();
     agent.Resume("entry-1.1.2", 0);
@@ -62,10 +61,9 @@
   }
 }
 
-// Symptom: a booking is made twice.
-// Sequence: the entry sends Start; its connection goes silent; it sends the frame again on a new
-// one, while the call runs, and once more after it finished.
-// Cause: the entry can't know which of its frames arrived.
+// An entry can't know which of its frames arrived, so that it repeats a Start over a new
+// connection: here while the call runs and once more after it finished. The request must not run
+// twice.
 TEST(AgentRequests, TheSameStartAgainNeverRunsASecondTime)
 {
   AgentHarness agent;
@@ -85,14 +83,13 @@
   EXPECT_EQ(agent.ReceivedOf("entry-1.1.1").cutReason, "already ran; its answer is no longer held");
 }
 
-// Symptom: "not run" is told and the request runs afterwards, or it ran and "not run" is told.
-// Sequence: the entry seals an attempt whose Start it sent; the two arrive in either order.
-// Cause: after a lost connection the order of frames says nothing.
+// After a lost connection, a Start and the Seal of the same attempt may arrive in either order. A
+// sealed request must never run, and the Seal of one that ran must say so.
 TEST(AgentRequests, SealAndStartAgreeInBothOrders)
 {
   AgentHarness agent;
   agent.FormGroup(7);
-  SECTION("the seal first: the Start that comes after it never runs")
+  SECTION("the Seal first: the Start that arrives after it never runs")
   {
     EXPECT_EQ(SealOf(agent, "entry-1.1.1"), wire::SealResult::Sealed);
     agent.Start("entry-1.1.1");
@@ -100,7 +97,7 @@
     EXPECT_EQ(agent.RefusalOf("entry-1.1.1"), "refused or sealed before");
     EXPECT_EQ(SealOf(agent, "entry-1.1.1"), wire::SealResult::Sealed);
   }
-  SECTION("the start first: the seal is told so, while it runs and afterwards")
+  SECTION("the Start first: the Seal is answered with Started, while it runs and afterwards")
   {
     agent.Start("entry-1.1.2");
     EXPECT_EQ(SealOf(agent, "entry-1.1.2"), wire::SealResult::Started);
@@ -108,7 +105,7 @@
     agent.Acknowledge("entry-1.1.2", 1, true);
     EXPECT_EQ(SealOf(agent, "entry-1.1.2"), wire::SealResult::Started);
   }
-  SECTION("refused before start counts as sealed")
+  SECTION("a request refused before its start counts as sealed")
   {
     AgentHarness::StartOptions old;
     old.epoch = 3;
@@ -134,11 +131,10 @@
   EXPECT_EQ(agent.RunsOf("entry-1.1.5"), 0U);
 }
 
-// Symptom: a request runs on an agent that answered "never started" in its former life, or the
-// other way round.
-// Sequence: the agent restarts; frames meant for its predecessor arrive.
-// Cause: the restarted process has the same name and address, and its ledger is empty.
-TEST(AgentRequests, FramesForAPredecessorAreRefused)
+// A restarted agent has the same name and address and an empty ledger, and receives frames sent to
+// its former incarnation. It can't know what that one ran, so that it must neither run them nor
+// report "never started".
+TEST(AgentRequests, FramesForAFormerIncarnationAreRefused)
 {
   AgentHarness agent;
   agent.FormGroup(7);
@@ -155,10 +151,8 @@
   EXPECT_EQ(agent.Sent<wire::UnknownRequestT>().size(), 2U);
 }
 
-// Symptom: a streamed answer misses a piece or has one twice.
-// Sequence: the entry's connection swallows frames for a while; it resumes on a new connection from
-// the offset it has.
-// Cause: what was written to a dead connection is gone for its sender.
+// The entry's connection loses frames for a while; the entry resumes over a new one from its
+// offset. No part of the streamed answer may be missing or repeated.
 TEST(AgentRequests, AResumedAnswerIsByteIdentical)
 {
   AgentHarness agent;
@@ -179,13 +173,13 @@
   }
   EXPECT_EQ("alp" + rest, "alpha beta gamma");
   EXPECT_TRUE(agent.Last<wire::OutputT>()->end);
-  SECTION("an offset that was acknowledged away is answered with a cut, never with a gap")
+  SECTION("a resume from an acknowledged offset is answered with a cut, never with a gap")
   {
     agent.Resume("entry-1.1.1", 1);
     EXPECT_EQ(agent.Last<wire::OutputT>()->cutReason, "output from the wanted offset is not held");
     EXPECT_TRUE(agent.Last<wire::OutputT>()->bytes.empty());
   }
-  SECTION("acknowledged as done it is forgotten")
+  SECTION("once acknowledged as done, the answer is discarded")
   {
     agent.Acknowledge("entry-1.1.1", 16, true);
     agent.Resume("entry-1.1.1", 0);
@@ -193,9 +187,8 @@
   }
 }
 
-// Symptom: the agent's memory grows without end, or one slow reader ends every request.
-// Sequence: answers are longer than the bound and one entry acknowledges nothing.
-// Cause: output is held until it is acknowledged.
+// Output is held until it is acknowledged. With long answers and an entry that acknowledges
+// nothing, the agent's memory would grow without limit, or one slow reader would end every request.
 TEST(AgentRequests, HeldOutputIsBoundedAndTheOneHoldingMostIsCut)
 {
   AgentHarness agent({ .maxHeldOutputBytes = 1000 });
@@ -226,9 +219,8 @@
   EXPECT_EQ(agent.ReceivedOf("entry-1.1.1").cutReason, "");
 }
 
-// Symptom: answers of an entry that will not return fill the agent.
-// Sequence: an entry dies for good with a request running and one answered.
-// Cause: nobody acknowledges them any more.
+// An entry never reconnects, and so never acknowledges its answers. Without a time limit they would
+// use up the agent's memory.
 TEST(AgentRequests, AnswersForAnEntryThatNeverReturnsAreHeldForABoundedTime)
 {
   AgentHarness agent;
@@ -240,7 +232,7 @@
   agent.Start("entry-1.1.3", booking);
   agent.AnswerCall("entry-1.1.1", "done", true);
   agent.Deliver(PeerDown{ ProcessId("entry-1"), Incarnation(1), "closed" });
-  agent.Advance(RequestSystem::kHoldFor + seconds(1));
+  agent.Advance(RequestSystem::kOutputRetention + seconds(1));
   EXPECT_TRUE(agent.CallOf("entry-1.1.2")->cancelled);
   EXPECT_FALSE(agent.CallOf("entry-1.1.3")->cancelled) << "a begun booking runs to its end";
   EXPECT_EQ(SealOf(agent, "entry-1.1.1"), wire::SealResult::Started);
@@ -270,7 +262,7 @@
   agent.Start("entry-1.1.1", batch);
   agent.Start("entry-1.1.2", batch);
   agent.Start("entry-1.1.3", batch);
-  SECTION("a full queue refuses with a time to come back")
+  SECTION("a full queue refuses with a retry delay")
   {
     agent.Start("entry-1.1.4", batch);
     EXPECT_EQ(agent.RefusalOf("entry-1.1.4"), "queue full");
@@ -302,7 +294,7 @@
   EXPECT_TRUE(agent.CallOf("entry-1.1.1")->cancelled);
   EXPECT_FALSE(agent.CallOf("entry-1.1.2")->cancelled);
   EXPECT_EQ(agent.RefusalOf("entry-1.1.3"), "deadline passed while queued");
-  SECTION("a booking whose target hangs gives its slot back in the end")
+  SECTION("a booking whose target hangs frees its slot after the overdue limit")
   {
     agent.Advance(RequestSystem::kOverdueLimit);
     EXPECT_EQ(agent.ReceivedOf("entry-1.1.2").cutReason, "deadline passed");
@@ -321,10 +313,9 @@
   EXPECT_EQ(agent.RunsOf("entry-1.1.2"), 1U);
 }
 
-// Symptom: "not run" although the target may have run the call.
-// Sequence: the connection to the target breaks, before or after the call was written.
-// Cause: only a call of which no byte left is certain not to have run.
-TEST(AgentRequests, ATargetThatFailsIsToldTruly)
+// The connection to the target breaks before or after the call was written. Only if no byte was
+// sent is it certain that the call did not run.
+TEST(AgentRequests, ATargetFailureIsReportedExactly)
 {
   AgentHarness agent;
   agent.FormGroup(7);
@@ -338,10 +329,9 @@
   EXPECT_EQ(SealOf(agent, "entry-1.1.2"), wire::SealResult::Started);
 }
 
-// Symptom: an answer that was whole is cut because its group was dissolved before a resume.
-// Sequence: the answer ends while the group is whole; its entry's connection is down; a new epoch.
-// Cause: what counts is whether the group was whole when the output came, not when it is read.
-TEST(AgentRequests, AnAnswerMadeByAWholeGroupOutlivesTheGroup)
+// An answer completes while the group is intact and its entry is disconnected; then a new epoch is
+// assigned. The entry must still get the answer, because the group was intact when it was produced.
+TEST(AgentRequests, AnAnswerOfAnIntactGroupIsKeptAfterTheGroupEnds)
 {
   AgentHarness agent;
   agent.FormGroup(7);
