--- a/include/gooseberrysail/core/http_header.hpp
+++ b/include/gooseberrysail/core/http_header.hpp
@@ -6,14 +6,14 @@
 
 namespace gooseberrysail {
 
-/// \brief A header of an HTTP message; names compare without case.
+/// \brief A header of an HTTP message; names are case-insensitive.
 struct HttpHeader
 {
   std::string name;
   std::string value;
 };
 
-/// \brief Whether two header names are the same, compared without case.
+/// \brief Compares two header names, ignoring case.
 [[nodiscard]] bool SameHeaderName(std::string_view left, std::string_view right) noexcept;
 
 /// \brief The value of the first header of this name; "" when absent.
--- a/include/gooseberrysail/core/ids.hpp
+++ b/include/gooseberrysail/core/ids.hpp
@@ -12,7 +12,7 @@
 
 namespace impl {
 
-/// \brief A value of type `Value` that can't be mixed up with one of another `Tag`.
+/// \brief A `Value` that can't be converted to a StrongId with another `Tag`.
 template<class Tag, class Value>
 class StrongId
 {
@@ -38,33 +38,33 @@
 
 } // namespace impl
 
-/// \brief A running daemon by its configured name, such as `entry-1`. Names outlive restarts.
+/// \brief A daemon process by its configured name, such as `entry-1`. A restart keeps the name.
 using ProcessId = impl::StrongId<struct ProcessTag, std::string>;
 /// \brief A target VM by its configured name.
 using VmId = impl::StrongId<struct VmTag, std::string>;
-/// \brief Machines that fail together, such as `half-way-tree`.
+/// \brief A set of machines that may fail together, such as `half-way-tree`.
 using FailureDomainId = impl::StrongId<struct FailureDomainTag, std::string>;
-/// \brief Machines joined by one fast fabric; a group never spans two.
+/// \brief A set of machines connected by one fast fabric; a group never spans two of them.
 using FabricDomainId = impl::StrongId<struct FabricDomainTag, std::string>;
 /// \brief The name of a catalogue entry.
 using EntryName = impl::StrongId<struct EntryNameTag, std::string>;
 /// \brief A customer's workspace by its catalogue name.
 using WorkspaceId = impl::StrongId<struct WorkspaceTag, std::string>;
-/// \brief `<entry process>.<incarnation>.<sequence>`: names the entry that can tell its outcome.
+/// \brief `<entry process>.<incarnation>.<sequence>`; identifies the entry that knows the outcome.
 using RequestId = impl::StrongId<struct RequestTag, std::string>;
 
-/// \brief One group: the log index at which it was formed.
+/// \brief Identifies a group by the log index at which it was formed.
 using GroupId = impl::StrongId<struct GroupTag, std::uint64_t>;
-/// \brief Orders assignments and fences old ones; only rises.
+/// \brief Orders assignments and fences old ones; never decreases.
 using Epoch = impl::StrongId<struct EpochTag, std::uint64_t>;
-/// \brief Tells apart the lives of a process with one name.
+/// \brief Distinguishes successive runs of a process with the same name.
 using Incarnation = impl::StrongId<struct IncarnationTag, std::uint64_t>;
 /// \brief Position in the replicated log; also the version of the configuration.
 using LogIndex = impl::StrongId<struct LogIndexTag, std::uint64_t>;
 /// \brief Election term.
 using Term = impl::StrongId<struct TermTag, std::uint64_t>;
 
-/// \brief Builds the id of the `sequence`-th request of one entry's life.
+/// \brief Builds the id of the `sequence`-th request of one incarnation of an entry.
 [[nodiscard]] RequestId MakeRequestId(const ProcessId& entry,
                                       Incarnation incarnation,
                                       std::uint64_t sequence);
--- a/include/gooseberrysail/core/join.hpp
+++ b/include/gooseberrysail/core/join.hpp
@@ -6,7 +6,7 @@
 
 namespace gooseberrysail {
 
-/// \brief The items' texts in one, `separator` between them.
+/// \brief Concatenates the texts of the items, with `separator` between them.
 /// \code
 ///   Join(members, ",", &VmId::Get)
 /// \endcode
--- a/include/gooseberrysail/core/result.hpp
+++ b/include/gooseberrysail/core/result.hpp
@@ -11,29 +11,29 @@
 
 namespace outcome = BOOST_OUTCOME_V2_NAMESPACE;
 
-/// \brief What kind of failure it was; decides how a caller of the function may react.
+/// \brief Kind of failure; determines how the caller may react.
 enum class ErrorCode
 {
-  kInvalid,     ///< The input is wrong; the same input fails again.
-  kNotFound,    ///< No such thing.
-  kConflict,    ///< It exists in another state than expected.
-  kDenied,      ///< The peer may not do this.
-  kTooLarge,    ///< Over a stated size limit.
+  kInvalid,     ///< The input is invalid; the same input fails again.
+  kNotFound,    ///< The requested object does not exist.
+  kConflict,    ///< The object is in another state than expected.
+  kDenied,      ///< The peer is not permitted to do this.
+  kTooLarge,    ///< A size limit was exceeded.
   kTimeout,     ///< No answer in time; whether it took effect is unknown.
-  kUnavailable, ///< Not now; trying later may succeed.
+  kUnavailable, ///< Temporarily not possible; a retry may succeed.
   kCorrupt,     ///< Stored or received bytes are damaged.
-  kIo,          ///< The operating system refused.
+  kIo,          ///< A system call failed.
 };
 
 [[nodiscard]] const char* ToString(ErrorCode code) noexcept;
 
-/// \brief A failure with the step and the peer at which it arose.
+/// \brief A failure with the step and the peer at which it occurred.
 struct Error
 {
   ErrorCode code = ErrorCode::kInvalid;
-  std::string step;        ///< What was being done, such as "read frame".
+  std::string step;        ///< The operation that failed, such as "read frame".
   std::string peer;        ///< The other side: process, address, file and offset; "" when none.
-  std::string description; ///< One sentence for a person.
+  std::string description; ///< Human-readable, one sentence.
 };
 
 /// \brief `step [peer]: description (code)`.
@@ -41,7 +41,7 @@
 std::ostream& operator<<(std::ostream& out, const Error& error);
 
 /// \brief A value or an Error.
-/// \remarks Reading the value of a failed result ends the process; check it first.
+/// \remarks Accessing the value of a failed result terminates the process; check it first.
 /// \code
 /// Result<Settings> settings = LoadSettings(path);
 /// if (!settings) {
--- a/include/gooseberrysail/core/smoothing.hpp
+++ b/include/gooseberrysail/core/smoothing.hpp
@@ -4,7 +4,7 @@
 
 namespace gooseberrysail {
 
-/// \brief A mean that forgets: `latest` counts with `weight`, or whole while nothing is known.
+/// \brief Step of an exponential moving average; returns `latest` while `known` is zero.
 [[nodiscard]] inline Duration Smooth(Duration known, Duration latest, double weight)
 {
   const Duration change = std::chrono::duration_cast<Duration>((latest - known) * weight);
--- a/include/gooseberrysail/core/time.hpp
+++ b/include/gooseberrysail/core/time.hpp
@@ -7,9 +7,9 @@
 
 using Duration = std::chrono::nanoseconds;
 
-/// \brief The clock all timeouts and leases count on.
-/// \remarks The daemon fills it from CLOCK_BOOTTIME, which goes on while a VM is suspended: with
-/// a clock that stops, a process that wakes up would hold leases that ended long ago.
+/// \brief The clock of all timeouts and leases.
+/// \remarks The daemon reads it from CLOCK_BOOTTIME, which also advances while a VM is suspended.
+/// With a clock that stops, a resumed process would still hold leases that ended long ago.
 struct BootClock
 {
   using duration = Duration;
@@ -22,7 +22,7 @@
 /// \brief A moment on one machine's BootClock; meaningless on another machine.
 using TimePoint = BootClock::time_point;
 
-/// \brief Milliseconds since 1970, for people to read; never used for a decision.
+/// \brief Milliseconds since 1970, for display only; no decision depends on it.
 using WallMillis = std::int64_t;
 
 [[nodiscard]] constexpr std::int64_t ToMillis(Duration duration) noexcept
--- a/include/gooseberrysail/forward_declarations.hpp
+++ b/include/gooseberrysail/forward_declarations.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-/// \file Names of the main types, for headers that only mention them.
+/// \file Forward declarations of the main types.
 
 namespace gooseberrysail {
 
--- a/include/gooseberrysail/gooseberrysail.hpp
+++ b/include/gooseberrysail/gooseberrysail.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-/// \file Everything that a program needs to run or drive the roles; one include for examples and
-/// other drivers. Sources of the project include the small headers instead.
+/// \file Umbrella header for programs that run or drive the roles, such as the examples. The
+/// project's own sources include the individual headers instead.
 /// \code
 /// #include "gooseberrysail/gooseberrysail.hpp"
 ///
--- a/include/gooseberrysail/roles/agent_role.hpp
+++ b/include/gooseberrysail/roles/agent_role.hpp
@@ -12,25 +12,25 @@
 
 namespace gooseberrysail {
 
-/// \brief What an agent knows of itself and its target VM from its settings.
+/// \brief Settings of an agent and of its target VM.
 struct AgentSettings
 {
   ProcessId process;
   Incarnation incarnation;
-  std::string address; ///< Where it listens for peers, "ip:port".
+  std::string address; ///< Listening address for peers, "ip:port".
   VmId vm;
   FailureDomainId failureDomain;
   FabricDomainId fabricDomain;
   wire::TargetKind kind = wire::TargetKind::Engine;
-  EntryName service; ///< Plain services: the catalogue entry served.
+  EntryName service; ///< For plain services: the catalogue entry served.
   std::uint32_t accelerators = 0;
   std::vector<EntrySettings::Control> controls;
   std::size_t maxHeldOutputBytes =
-    16 * 1024 * 1024; ///< Unacknowledged answers, all requests together.
+    16 * 1024 * 1024; ///< Unacknowledged output of all requests together.
 };
 
-/// \brief The agent's decisions: membership, the gate before the target, what truly happened to a
-/// request. No I/O inside.
+/// \brief The agent's logic: group membership, the gate in front of the target, and the outcome of
+/// each request. Performs no I/O.
 class AgentRole
 {
 public:
@@ -39,9 +39,9 @@
   AgentRole(const AgentRole&) = delete;
   AgentRole& operator=(const AgentRole&) = delete;
 
-  /// \brief Takes in what arrived and appends what must go out.
-  /// \param now BootClock time; never goes back.
-  /// \remarks Call it at once when something arrives and at least every kTickInterval.
+  /// \brief Processes the inputs received and appends the outputs to send.
+  /// \param now BootClock time; must not decrease.
+  /// \remarks Call it whenever an input arrives, and at least every kTickInterval.
   void Tick(TimePoint now, std::span<const AgentInput> inbox, std::vector<AgentOutput>& outbox);
 
   static constexpr Duration kTickInterval = std::chrono::milliseconds(100);
--- a/include/gooseberrysail/roles/inputs.hpp
+++ b/include/gooseberrysail/roles/inputs.hpp
@@ -13,17 +13,17 @@
 #include <vector>
 #include <wire_generated.h>
 
-/// \file What enters and leaves the I/O-free roles. The shell turns sockets, HTTP and files into
-/// these, golden sessions write them down, and both drive the same systems with them.
+/// \file Inputs and outputs of the roles, which perform no I/O. The shell converts socket, HTTP and
+/// file events to and from these types; golden sessions record and replay them.
 
 namespace gooseberrysail {
 
-/// \brief One HTTP exchange of the process, numbered by the shell.
+/// \brief Number of an HTTP exchange within the process.
 using ExchangeId = impl::StrongId<struct ExchangeTag, std::uint64_t>;
 
 // ---- peers ----
 
-/// \brief A connection with a peer stands and the peer proved that it has the cluster key.
+/// \brief A connection with a peer is established and the peer proved that it has the cluster key.
 struct PeerUp
 {
   ProcessId peer;
@@ -32,7 +32,7 @@
   std::string address; ///< Where the peer listens, "ip:port".
 };
 
-/// \brief The last connection with the peer ended or went silent; frames may have been lost.
+/// \brief The last connection with the peer was closed or timed out; frames may have been lost.
 struct PeerDown
 {
   ProcessId peer;
@@ -48,11 +48,11 @@
   std::shared_ptr<const wire::EnvelopeT> envelope;
 };
 
-/// \brief A frame to send. Frames to one peer stay in order; they are lost when it goes down.
+/// \brief A frame to send. Frames to one peer stay in order and are lost when its connection ends.
 struct FrameOut
 {
   ProcessId peer;
-  std::string address; ///< Dialled when no connection stands; "" never dials.
+  std::string address; ///< Dialled when there is no connection; "" never dials.
   std::shared_ptr<wire::EnvelopeT> envelope;
 };
 
@@ -75,8 +75,8 @@
 };
 
 /// \brief Part of an answer; the first part carries status and headers.
-/// \remarks With `end` on the first part the answer is sent with its length, else chunked. With
-/// `abort` the connection is closed so that the caller sees the answer is not whole.
+/// \remarks If the first part has `end` set, the answer is sent with its length, otherwise chunked.
+/// `abort` closes the connection, so that the caller detects an incomplete answer.
 struct HttpAnswerOut
 {
   ExchangeId exchange;
@@ -96,11 +96,11 @@
   std::string path;
   std::vector<HttpHeader> headers;
   std::string body;
-  Duration timeout{};       ///< Without a byte for this long, the call fails; 0: none.
-  std::string address = {}; ///< "ip:port"; "": the process's own target.
+  Duration timeout{};       ///< The call fails after this long without a byte; 0: no limit.
+  std::string address = {}; ///< "ip:port"; "" for the process's own target.
 };
 
-/// \brief Close the connection of a call: the target sees its caller gone.
+/// \brief Cancels a call by closing its connection.
 struct TargetCancelOut
 {
   ExchangeId exchange;
@@ -109,7 +109,7 @@
 struct TargetAnswerIn
 {
   ExchangeId exchange;
-  std::optional<unsigned> status; ///< With the first part.
+  std::optional<unsigned> status; ///< Set in the first part.
   std::vector<HttpHeader> headers;
   std::string bytes;
   bool end = false;
@@ -119,20 +119,20 @@
 {
   ExchangeId exchange;
   Error error;
-  bool neverSent = false; ///< Certain that no byte of the call reached the target.
+  bool neverSent = false; ///< No byte of the call was sent to the target.
 };
 
 // ---- the process itself ----
 
-/// \brief SIGTERM: leave gracefully.
+/// \brief SIGTERM was received: shut down gracefully.
 struct StopRequested
 {};
 
-/// \brief Everything in flight is done; the shell may exit.
+/// \brief The graceful shutdown is complete; the shell may exit.
 struct StoppedOut
 {};
 
-/// \brief A numbered event for the log and the time line.
+/// \brief A numbered event for the log and the timeline.
 struct EventOut
 {
   std::uint32_t number = 0;
--- a/include/gooseberrysail/serving/document.hpp
+++ b/include/gooseberrysail/serving/document.hpp
@@ -11,18 +11,18 @@
 #include <string_view>
 #include <vector>
 
-/// \file The serving document: everything that operators say about HTTP routes, services, models
-/// and workspaces, replaced as a whole by a document of a higher version.
+/// \file The serving document: the operators' configuration of HTTP routes, services, models and
+/// workspaces. A document is replaced as a whole by one of a higher version.
 
 namespace gooseberrysail {
 
-/// \brief What a failed attempt allows.
+/// \brief Whether a request may be sent again after a failed attempt.
 enum class RepeatPolicy : std::uint8_t
 {
-  kIdempotent,      ///< May run more than once.
-  kAtMostOnce,      ///< Sent again only when it certainly did not run.
-  kEventStream,     ///< As kAtMostOnce; answered by a stream of events.
-  kResumableStream, ///< A stream that another target may go on with after the last event.
+  kIdempotent,      ///< May be executed more than once.
+  kAtMostOnce,      ///< Sent again only if it certainly was not executed.
+  kEventStream,     ///< As kAtMostOnce; the answer is a stream of events.
+  kResumableStream, ///< A stream that another target can resume after the last event.
 };
 
 [[nodiscard]] constexpr bool IsStream(RepeatPolicy policy) noexcept
@@ -30,13 +30,13 @@
   return policy == RepeatPolicy::kEventStream || policy == RepeatPolicy::kResumableStream;
 }
 
-/// \brief Whether a request that may have run may be sent again.
+/// \brief Whether a request that may already have been executed may be sent again.
 [[nodiscard]] constexpr bool MayRunAgain(RepeatPolicy policy) noexcept
 {
   return policy == RepeatPolicy::kIdempotent || policy == RepeatPolicy::kResumableStream;
 }
 
-/// \brief One service of a route and its part of the route's requests.
+/// \brief One service of a route and the weight of its share of the route's requests.
 struct RouteShare
 {
   std::string service;
@@ -49,40 +49,40 @@
   std::string host;       ///< Lower case, without port.
   std::string pathPrefix; ///< Begins and ends with '/'.
   RepeatPolicy repeat = RepeatPolicy::kAtMostOnce;
-  Duration timeout{};   ///< Longest time until the final answer.
-  Duration objective{}; ///< Time to the (first part of the) answer that callers count as on time.
-  Duration longestPause{};    ///< Streams: between two events; 0: none stated.
+  Duration timeout{};         ///< Maximum time until the answer is complete.
+  Duration objective{};       ///< Time to the first part of the answer that counts as on time.
+  Duration longestPause{};    ///< Streams: longest time between two events; 0: not set.
   std::uint32_t priority = 0; ///< 0 is the most urgent.
   std::uint32_t maxAttempts = 1;
   bool isPublic = false;          ///< Needs no key.
-  std::vector<RouteShare> shares; ///< At least one of positive weight.
+  std::vector<RouteShare> shares; ///< At least one has a positive weight.
 };
 
-/// \brief A model that groups of targets serve.
+/// \brief A model served by groups of targets.
 struct GroupModel
 {
   std::string name;
-  std::uint32_t size = 1; ///< Targets in a group.
-  double share = 0;       ///< Its part of the service's work at the start, 0 to 1.
-  double pace = 1;        ///< Factor on the engine's times.
-  Duration loadTime{};    ///< Weights from the store.
-  Duration warmTime{};    ///< Weights that the host holds already.
+  std::uint32_t size = 1; ///< Number of targets in a group.
+  double share = 0;       ///< Initial share of the service's work, 0 to 1.
+  double pace = 1;        ///< Factor on the engine's step times.
+  Duration loadTime{};    ///< To load weights from the store.
+  Duration warmTime{};    ///< To load weights that the host already holds.
 };
 
-/// \brief How a service's engines work.
+/// \brief Parameters of a service's engines.
 struct EngineSpec
 {
   std::uint32_t slots = 1; ///< Requests that one group runs at once.
   std::uint64_t cacheTokens = 0;
   Duration stepTime{};
   Duration stepTimePerRequest{};
-  std::uint32_t tokensPerEvent = 1; ///< Steps that a group makes between two events of a stream.
+  std::uint32_t tokensPerEvent = 1; ///< Engine steps between two events of a stream.
   double promptTokensPerSecond = 0;
-  double loadsPerSecond = 1; ///< Loads from the weight store that may begin, all targets together.
-  std::uint32_t loadsAtOnce = 1; ///< More than these at a time slow one another down.
-  double usualOutputTokens = 0;  ///< Of a request, all kinds together; 0 when not known.
-  Duration openTime{};           ///< From the order to open a group until it serves.
-  Duration reportLag{};          ///< How old a target's answer about itself may be.
+  double loadsPerSecond = 1;     ///< Start rate of loads from the weight store, over all targets.
+  std::uint32_t loadsAtOnce = 1; ///< More concurrent loads than this slow each other down.
+  double usualOutputTokens = 0;  ///< Per request, over all kinds of requests; 0: unknown.
+  Duration openTime{};           ///< From the order that opens a group until it serves.
+  Duration reportLag{};          ///< Maximum age of the data in a target's report.
   std::vector<GroupModel> models;
 };
 
@@ -94,15 +94,15 @@
   std::optional<EngineSpec> engine; ///< None for a plain service.
 };
 
-/// \brief A customer and the keys by which its callers are known.
+/// \brief A customer and the API keys of its callers.
 struct ServingWorkspace
 {
   std::string name;
   std::vector<std::string> keys;
-  std::optional<std::uint32_t> priority; ///< Goes before the route's.
+  std::optional<std::uint32_t> priority; ///< Overrides the route's priority.
 };
 
-/// \brief Bounds on what callers may send.
+/// \brief Limits on requests of callers.
 struct CallerLimits
 {
   std::uint32_t maxHeaderBytes = 16 * 1024;
@@ -117,18 +117,18 @@
   std::vector<HttpRoute> routes;
   std::vector<ServiceDefinition> services;
   std::vector<ServingWorkspace> workspaces;
-  bool needsKeys = false; ///< Callers of routes that are not public must show a workspace's key.
+  bool needsKeys = false; ///< Requests to routes that aren't public need a workspace's key.
   CallerLimits limits;
 };
 
-/// \brief Null when the document has no such service with engines.
+/// \brief Engine parameters of a service; null if there is no such service or it has no engines.
 [[nodiscard]] const EngineSpec* FindEngine(const ServingDocument& document,
                                            std::string_view service);
 
-/// \brief Reads and validates a document's text.
+/// \brief Parses and validates the text of a document.
 using DocumentReader = std::function<Result<ServingDocument>(std::string_view text)>;
 
-/// \brief Checks what must hold between the parts of a document.
+/// \brief Checks the consistency of a document.
 /// \returns kInvalid, naming the offending part: no version, an unknown service, two routes with
 /// one host and prefix, weights that add up to 0, a timeout of 0, a key of two workspaces.
 [[nodiscard]] Result<void> ValidateDocument(const ServingDocument& document);
--- a/include/gooseberrysail/serving/route_index.hpp
+++ b/include/gooseberrysail/serving/route_index.hpp
@@ -10,18 +10,18 @@
 
 namespace gooseberrysail {
 
-/// \brief Finds the route and the workspace of a request in one document.
+/// \brief Looks up the route and the workspace of a request in a serving document.
 class RouteIndex
 {
 public:
   explicit RouteIndex(ServingDocument document);
 
-  /// \brief The route of `host` with the longest prefix of the path; null when there is none.
-  /// \param host As in the Host header; a port and the case of letters do not count.
+  /// \brief The route of `host` with the longest matching path prefix; null when there is none.
+  /// \param host Value of the Host header; port and letter case are ignored.
   /// \param target Path and query.
   [[nodiscard]] const HttpRoute* Match(std::string_view host, std::string_view target) const;
 
-  /// \brief Whose key this is; null when nobody's.
+  /// \brief The workspace that has this key; null when there is none.
   [[nodiscard]] const ServingWorkspace* FindByKey(std::string_view key) const;
 
   [[nodiscard]] const ServiceDefinition* FindService(std::string_view name) const;
@@ -41,7 +41,7 @@
   using TextMap = std::unordered_map<std::string, Value, TextHash, std::equal_to<>>;
 
   ServingDocument m_document;
-  TextMap<TextMap<std::size_t>> m_routes; ///< Host, then prefix: the route's place.
+  TextMap<TextMap<std::size_t>> m_routes; ///< Index of the route by host, then by path prefix.
   TextMap<std::size_t> m_keys;
   TextMap<std::size_t> m_services;
 };
--- a/include/gooseberrysail/serving/served_target.hpp
+++ b/include/gooseberrysail/serving/served_target.hpp
@@ -9,7 +9,7 @@
 
 namespace gooseberrysail {
 
-/// \brief A target as entries use it.
+/// \brief A target as control describes it to entries.
 struct ServedTarget
 {
   InstanceId instance;
@@ -17,8 +17,8 @@
   std::string address; ///< "ip:port".
   FailureDomainId failureDomain;
   std::uint32_t slots = 0;
-  bool leaving = false;    ///< Takes no new work.
-  std::string servedModel; ///< Heads of a complete, open group: its model; "" for plain services.
+  bool leaving = false;    ///< Accepts no new requests.
+  std::string servedModel; ///< Model of the complete, open group it heads; "" for plain services.
   Incarnation born{};
 
   friend bool operator==(const ServedTarget&, const ServedTarget&) = default;
--- a/include/gooseberrysail/serving/target_table.hpp
+++ b/include/gooseberrysail/serving/target_table.hpp
@@ -12,11 +12,11 @@
 
 namespace gooseberrysail {
 
-/// \brief A target's name. It may start again under the same one; then its incarnation rises, and
-/// the new life knows and holds nothing of the former.
+/// \brief A target's name. A restarted target keeps its name and has a higher incarnation; nothing
+/// of its former state remains.
 using InstanceId = impl::StrongId<struct InstanceTag, std::string>;
 
-/// \brief One life of a target.
+/// \brief One incarnation of a target.
 struct TargetIncarnation
 {
   InstanceId instance;
@@ -25,10 +25,10 @@
   friend auto operator<=>(const TargetIncarnation&, const TargetIncarnation&) = default;
 };
 
-/// \brief A target's own account of the group it is in.
+/// \brief A target's group membership, as it reports it.
 struct GroupMembership
 {
-  std::string group; ///< "" when in none.
+  std::string group; ///< "" for no group.
   Epoch epoch;
   std::uint32_t rank = 0; ///< 0 for the head.
   wire::MemberState state = wire::MemberState::None;
@@ -40,11 +40,11 @@
   }
 };
 
-/// \brief What a target said of itself in a heartbeat.
+/// \brief Contents of a target's heartbeat.
 struct TargetAnnouncement
 {
   InstanceId instance;
-  Incarnation born; ///< When this life started, in Unix milliseconds; none where it does not tell.
+  Incarnation born; ///< Start time in Unix milliseconds; none if the target doesn't report it.
   std::string service;
   std::string address; ///< "ip:port".
   FailureDomainId failureDomain;
@@ -52,58 +52,58 @@
   std::string softwareVersion;
   std::uint32_t slots = 0;
   bool draining = false;
-  bool left = false;                     ///< Its last word: it goes away.
-  std::uint64_t sequence = 0;            ///< Counts the heartbeats of this life.
+  bool left = false;                     ///< Final message: the target is shutting down.
+  std::uint64_t sequence = 0;            ///< Counts the heartbeats of this incarnation.
   std::vector<std::string> stagedModels; ///< Models whose weights its host holds.
   std::string loadedModel;
   GroupMembership membership;
 };
 
-/// \brief What a target answered when it was asked about itself.
+/// \brief A target's answer to a report request.
 struct TargetReport
 {
-  std::optional<double> pace; ///< The factor on its usual times; over 1 it is slow.
+  std::optional<double> pace; ///< Factor on its usual times; above 1 the target is slow.
   std::optional<GroupMembership> membership;
 };
 
 struct TargetRow
 {
   TargetAnnouncement latest;
-  /// \brief The model of the last group in which it was ready: the target still has those weights
-  /// and joins another group of that model within a moment. "" for none.
+  /// \brief The model of the last group in which the target was ready; "" for none. The target
+  /// still has those weights loaded, so that it joins another group of that model quickly.
   std::string lastModel;
-  TimePoint firstSeenAt{}; ///< Of this life.
+  TimePoint firstSeenAt{}; ///< In this incarnation.
   TimePoint lastSeenAt{};
 };
 
-/// \brief Targets that announced themselves to any control process, by instance.
+/// \brief Targets that sent heartbeats to any control process, by instance.
 class TargetTable
 {
 public:
-  /// \brief How an announcement changed the table.
+  /// \brief Effect of an announcement on the table.
   enum class Change
   {
-    kNone,    ///< Late or unknown: nothing changed.
-    kRefresh, ///< The same as before, heard again.
-    kState,   ///< Something that others must learn.
+    kNone,    ///< Nothing changed: the announcement was out of date.
+    kRefresh, ///< Same state as before, received again.
+    kState,   ///< A change that must be passed on to others.
   };
 
-  /// \brief Takes in a heartbeat, wherever it was received.
+  /// \brief Applies a heartbeat, whichever control process received it.
   Change Update(TimePoint now, TargetAnnouncement announcement);
 
-  /// \brief A target took its leave; later heartbeats of the same life are void.
-  /// \param born Which life, or none where that is not known: a farewell that was passed on by
-  /// another process may arrive after the first word of the next life.
+  /// \brief Marks a target as shut down; later heartbeats of the same incarnation are ignored.
+  /// \param born The incarnation that left, or none if unknown. A departure that another process
+  /// passes on may arrive after the first heartbeat of the next incarnation.
   Change MarkLeft(TimePoint now, const InstanceId& instance, Incarnation born = {});
 
-  /// \brief Drops rows of targets that left, or were silent for long.
+  /// \brief Removes the rows of targets that left or sent nothing for kDepartedRetention.
   void RemoveExpired(TimePoint now);
 
   [[nodiscard]] const std::map<InstanceId, TargetRow>& Rows() const noexcept { return m_rows; }
   [[nodiscard]] const TargetRow* Find(const InstanceId& instance) const;
 
-  /// \brief How long rows of targets that left or fell silent are kept, so that a late heartbeat of
-  /// theirs is recognised.
+  /// \brief How long rows of targets that left or stopped sending are kept, so that their late
+  /// heartbeats are recognised.
   static constexpr Duration kDepartedRetention = std::chrono::seconds(60);
 
 private:
--- a/include/gooseberrysail/wire/envelope.hpp
+++ b/include/gooseberrysail/wire/envelope.hpp
@@ -15,7 +15,7 @@
 /// \brief Largest frame a process accepts, in bytes.
 inline constexpr std::size_t kMaxFrameBytes = 16 * 1024 * 1024;
 
-/// \brief Puts a message of any kind into an envelope.
+/// \brief Wraps a message of any kind in an envelope.
 /// \code
 /// auto envelope = MakeEnvelope(wire::PingT{});
 /// \endcode
@@ -27,7 +27,7 @@
   return envelope;
 }
 
-/// \brief The envelope's bytes, without the length prefix of the frame.
+/// \brief Serialises the envelope, without the length prefix of the frame.
 [[nodiscard]] std::vector<std::uint8_t> EncodeEnvelope(const wire::EnvelopeT& envelope);
 
 /// \brief Verifies and unpacks bytes received from `peer`.
@@ -35,8 +35,8 @@
   std::span<const std::uint8_t> bytes,
   std::string_view peer);
 
-/// \brief Whether a message must not wait behind those of other kinds: the replicated log's, by
-/// which followers know that their leader lives.
+/// \brief Whether a message is sent before queued messages of other kinds. True for messages of the
+/// replicated log, because followers detect a failed leader by their absence.
 [[nodiscard]] bool IsHighPriority(const wire::EnvelopeT& envelope) noexcept;
 
 /// \brief The name of the message kind, for logs and golden sessions.
--- a/src/core/token.cpp
+++ b/src/core/token.cpp
@@ -24,8 +24,8 @@
 
 bool EqualInConstantTime(std::string_view left, std::string_view right) noexcept
 {
-  // A comparison that stops at the first difference tells, by its time, how many characters of a
-  // guess are right.
+  // The run time of a comparison that stops at the first difference reveals how many leading
+  // characters of a guess are right.
   return left.size() == right.size() && CRYPTO_memcmp(left.data(), right.data(), left.size()) == 0;
 }
 
--- a/src/serving/document.cpp
+++ b/src/serving/document.cpp
@@ -53,12 +53,12 @@
   for (const ServiceDefinition& service : document.services) {
     services.insert(service.name);
   }
-  std::set<std::pair<std::string_view, std::string_view>> places;
+  std::set<std::pair<std::string_view, std::string_view>> hostPrefixes;
   for (const HttpRoute& route : document.routes) {
     if (route.host.empty() || !IsPrefix(route.pathPrefix)) {
       return Invalid("route '" + route.name + "' has no host, or a prefix without its slashes");
     }
-    if (!places.emplace(route.host, route.pathPrefix).second) {
+    if (!hostPrefixes.emplace(route.host, route.pathPrefix).second) {
       return Invalid("route '" + route.name + "' has the host and prefix of another route");
     }
     if (route.timeout <= Duration::zero()) {
@@ -71,12 +71,12 @@
 
 Result<void> CheckWorkspaces(const ServingDocument& document)
 {
-  std::unordered_map<std::string_view, std::string_view> holders;
+  std::unordered_map<std::string_view, std::string_view> owners;
   for (const ServingWorkspace& workspace : document.workspaces) {
     for (const std::string& key : workspace.keys) {
-      const auto [holder, fresh] = holders.emplace(key, workspace.name);
-      if (!fresh && holder->second != workspace.name) {
-        return Invalid("workspaces '" + std::string(holder->second) + "' and '" + workspace.name +
+      const auto [owner, isNew] = owners.emplace(key, workspace.name);
+      if (!isNew && owner->second != workspace.name) {
+        return Invalid("workspaces '" + std::string(owner->second) + "' and '" + workspace.name +
                        "' share a key");
       }
     }
--- a/src/serving/route_index.cpp
+++ b/src/serving/route_index.cpp
@@ -40,7 +40,7 @@
   if (routes == m_routes.end()) {
     return nullptr;
   }
-  // Prefixes end with a slash, so each slash of the path ends one candidate; the longest first.
+  // Prefixes end with a slash, so that each slash of the path ends one candidate; longest first.
   std::string_view path = target.substr(0, target.find('?'));
   while (!path.empty()) {
     const std::size_t slash = path.rfind('/');
--- a/src/serving/served_target.cpp
+++ b/src/serving/served_target.cpp
@@ -4,29 +4,29 @@
 
 wire::ServingTargetT ToWire(const ServedTarget& target)
 {
-  wire::ServingTargetT wired;
-  wired.instance = target.instance.Get();
-  wired.service = target.service;
-  wired.address = target.address;
-  wired.failureDomain = target.failureDomain.Get();
-  wired.slots = target.slots;
-  wired.leaving = target.leaving;
-  wired.servedModel = target.servedModel;
-  wired.born = target.born.Get();
-  return wired;
+  wire::ServingTargetT message;
+  message.instance = target.instance.Get();
+  message.service = target.service;
+  message.address = target.address;
+  message.failureDomain = target.failureDomain.Get();
+  message.slots = target.slots;
+  message.leaving = target.leaving;
+  message.servedModel = target.servedModel;
+  message.born = target.born.Get();
+  return message;
 }
 
-ServedTarget FromWire(const wire::ServingTargetT& wired)
+ServedTarget FromWire(const wire::ServingTargetT& message)
 {
   ServedTarget target;
-  target.instance = InstanceId(wired.instance);
-  target.service = wired.service;
-  target.address = wired.address;
-  target.failureDomain = FailureDomainId(wired.failureDomain);
-  target.slots = wired.slots;
-  target.leaving = wired.leaving;
-  target.servedModel = wired.servedModel;
-  target.born = Incarnation(wired.born);
+  target.instance = InstanceId(message.instance);
+  target.service = message.service;
+  target.address = message.address;
+  target.failureDomain = FailureDomainId(message.failureDomain);
+  target.slots = message.slots;
+  target.leaving = message.leaving;
+  target.servedModel = message.servedModel;
+  target.born = Incarnation(message.born);
   return target;
 }
 
--- a/src/serving/target_table.cpp
+++ b/src/serving/target_table.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// What others must learn of when it differs.
-auto Significant(const TargetAnnouncement& announcement)
+/// Fields whose changes must be passed on to others.
+auto ReplicatedFields(const TargetAnnouncement& announcement)
 {
   const GroupMembership& member = announcement.membership;
   return std::tie(announcement.born,
@@ -26,8 +26,8 @@
                   member.state);
 }
 
-/// A target that joins drops the weights it had; one that has left its group keeps them.
-void NoteLastModel(TargetRow& row)
+/// A target that joins a group unloads its former weights; one that has left its group keeps them.
+void UpdateLastModel(TargetRow& row)
 {
   const GroupMembership& membership = row.latest.membership;
   if (membership.group.empty()) {
@@ -41,30 +41,31 @@
 
 TargetTable::Change TargetTable::Update(TimePoint now, TargetAnnouncement announcement)
 {
-  const auto [found, fresh] = m_rows.try_emplace(announcement.instance);
+  const auto [found, isNew] = m_rows.try_emplace(announcement.instance);
   TargetRow& row = found->second;
-  // Heartbeats reach different control processes, and one may be overtaken by a later one: an older
-  // state put over a newer would bring back a target that is leaving.
-  // The count starts anew with each life, so a word of the next life may bear a lower one.
-  // After a farewell of an unknown life nobody can tell whether a word is of the next one.
+  // Heartbeats reach different control processes and may arrive out of order: an older state that
+  // replaced a newer one would bring back a target that is leaving.
+  // The sequence starts again with each incarnation, so that a heartbeat of the next incarnation
+  // may have a lower number. After a departure of an unknown incarnation, a heartbeat can't be
+  // attributed to the next one.
   const bool wasUnknown = row.latest.left && row.latest.born.IsNone();
-  const bool isReborn = !fresh && !wasUnknown && announcement.born > row.latest.born;
-  const bool isLate = !fresh && std::tie(announcement.born, announcement.sequence) <=
+  const bool isRestarted = !isNew && !wasUnknown && announcement.born > row.latest.born;
+  const bool isLate = !isNew && std::tie(announcement.born, announcement.sequence) <=
                                   std::tie(row.latest.born, row.latest.sequence);
-  if (isLate || (!fresh && !isReborn && row.latest.left)) {
+  if (isLate || (!isNew && !isRestarted && row.latest.left)) {
     return Change::kNone;
   }
-  if (isReborn) {
-    // Weights that the former life had in use are gone with it.
+  if (isRestarted) {
+    // The weights of the former incarnation are no longer loaded.
     row.lastModel.clear();
   }
-  if (fresh || isReborn) {
+  if (isNew || isRestarted) {
     row.firstSeenAt = now;
   }
-  const bool isSame = !fresh && Significant(row.latest) == Significant(announcement);
+  const bool isSame = !isNew && ReplicatedFields(row.latest) == ReplicatedFields(announcement);
   row.latest = std::move(announcement);
   row.lastSeenAt = now;
-  NoteLastModel(row);
+  UpdateLastModel(row);
   return isSame ? Change::kRefresh : Change::kState;
 }
 
--- a/src/wire/envelope.cpp
+++ b/src/wire/envelope.cpp
@@ -13,7 +13,7 @@
 Result<std::shared_ptr<const wire::EnvelopeT>> DecodeEnvelope(std::span<const std::uint8_t> bytes,
                                                               std::string_view peer)
 {
-  // Without the verifier a damaged or hostile frame would read outside the buffer.
+  // Unpacking an unverified frame that is damaged or malicious could read outside the buffer.
   flatbuffers::Verifier verifier(bytes.data(), bytes.size());
   if (!verifier.VerifyBuffer<wire::Envelope>()) {
     return Error{ ErrorCode::kCorrupt, "decode frame", std::string(peer), "not a valid message" };
--- a/tests/unit/serving_document_test.cpp
+++ b/tests/unit/serving_document_test.cpp
@@ -41,7 +41,7 @@
   return checked ? "" : checked.error().description;
 }
 
-TEST(ServingDocument, IsTakenWholeOrNotAtAll)
+TEST(ServingDocument, IsRejectedIfAnyPartIsInvalid)
 {
   ServingDocument document = GoodDocument();
   EXPECT_EQ(FaultOf(document), "");
@@ -56,7 +56,7 @@
     document.routes[0].shares = { { "nobody", 1 } };
     EXPECT_THAT(FaultOf(document), HasSubstr("unknown service 'nobody'"));
   }
-  SECTION("two routes in one place")
+  SECTION("two routes with the same host and prefix")
   {
     document = GoodDocument();
     document.routes[1].pathPrefix = "/";
@@ -104,7 +104,7 @@
   EXPECT_EQ(name("hire.example", "bookings/x"), "none");
 }
 
-TEST(RouteIndex, KeysNameTheirWorkspace)
+TEST(RouteIndex, KeysIdentifyTheirWorkspace)
 {
   const RouteIndex index(GoodDocument());
   ASSERT_NE(index.FindByKey("key-2"), nullptr);
@@ -131,10 +131,10 @@
   return heartbeat;
 }
 
-// Symptom: a target that started again under its name is not used for a minute, or its group goes
-// on as if nothing had happened. Sequence: its counts start anew, and a late word of its former
-// life overtakes its first one. Cause: the count alone told late from new.
-TEST(TargetTable, ANewLifeUnderTheSameNameIsNotLate)
+// A restarted target keeps its name and counts its heartbeats from 1 again, and a late heartbeat of
+// the former incarnation may follow its first one. If only the count were compared, the target
+// would not be used for a minute, or its group would not notice the restart.
+TEST(TargetTable, ANewIncarnationIsNotLate)
 {
   using Change = TargetTable::Change;
   const TimePoint now{ 1h };
@@ -144,26 +144,26 @@
   former.loadedModel = "large";
   former.membership = { "g7", Epoch(12), 1, wire::MemberState::Open };
   EXPECT_EQ(table.Update(now, former), Change::kState);
-  SECTION("its first word counts, and what the former life held does not")
+  SECTION("its first heartbeat counts, and the state of the former incarnation is dropped")
   {
     EXPECT_EQ(table.Update(now + 1s, HeartbeatOf(200, 1)), Change::kState);
     EXPECT_EQ(table.Find(instance)->latest.membership.group, "");
     EXPECT_EQ(table.Find(instance)->lastModel, "");
     EXPECT_EQ(table.Find(instance)->firstSeenAt, now + 1s);
   }
-  SECTION("a late word of the former life undoes nothing")
+  SECTION("a late heartbeat of the former incarnation changes nothing")
   {
     table.Update(now + 1s, HeartbeatOf(200, 1));
     ++former.sequence;
     EXPECT_EQ(table.Update(now + 2s, former), Change::kNone);
     EXPECT_EQ(table.Find(instance)->latest.born, Incarnation(200));
   }
-  SECTION("within a life a lower count is late as ever")
+  SECTION("within an incarnation a lower count is late")
   {
     table.Update(now + 1s, HeartbeatOf(200, 5));
     EXPECT_EQ(table.Update(now + 2s, HeartbeatOf(200, 4)), Change::kNone);
   }
-  SECTION("a farewell ends its own life only")
+  SECTION("a departure ends its own incarnation only")
   {
     table.Update(now + 1s, HeartbeatOf(200, 1));
     EXPECT_EQ(table.MarkLeft(now + 2s, instance, Incarnation(100)), Change::kNone);
@@ -173,15 +173,14 @@
     EXPECT_EQ(table.Update(now + 3s, HeartbeatOf(300, 1)), Change::kState);
     EXPECT_FALSE(table.Find(instance)->latest.left);
   }
-  SECTION("the life is passed on with the word")
+  SECTION("the incarnation is part of the encoded announcement")
   {
     EXPECT_EQ(FromWire(ToWire(former)).born, Incarnation(100));
   }
 }
 
-// Symptom: a target that is leaving gets new work.
-// Sequence: it says so to one control process; an earlier heartbeat, held up, reaches another.
-// Cause: the last one to arrive counted.
+// A target announces to one control process that it is leaving, and an earlier heartbeat reaches
+// another process late. If the last to arrive counted, the target would get new requests.
 TEST(TargetTable, LateHeartbeatsChangeNothing)
 {
   using Change = TargetTable::Change;
@@ -192,20 +191,20 @@
   EXPECT_EQ(table.Update(now, Heartbeat(7, true)), Change::kState);
   EXPECT_EQ(table.Update(now, Heartbeat(6, false)), Change::kNone);
   EXPECT_TRUE(table.Find(InstanceId("i-1"))->latest.draining);
-  SECTION("and none brings back a target that left")
+  SECTION("none brings back a target that left")
   {
     EXPECT_EQ(table.MarkLeft(now, InstanceId("i-1")), Change::kState);
     EXPECT_EQ(table.Update(now, Heartbeat(9, false)), Change::kNone);
     EXPECT_TRUE(table.Find(InstanceId("i-1"))->latest.left);
   }
-  SECTION("until it is forgotten")
+  SECTION("the row of a target is removed after the retention time")
   {
     table.RemoveExpired(now + TargetTable::kDepartedRetention + 1s);
     EXPECT_EQ(table.Find(InstanceId("i-1")), nullptr);
   }
 }
 
-TEST(TargetTable, AnAnnouncementSurvivesTheWire)
+TEST(TargetTable, AnnouncementsRoundTrip)
 {
   TargetAnnouncement sent = Heartbeat(4, true);
   sent.stagedModels = { "large" };
--- a/tests/unit/umbrella_header_test.cpp
+++ b/tests/unit/umbrella_header_test.cpp
@@ -1,4 +1,4 @@
-// First include: the umbrella header must stand by itself.
+// Included first, to check that the umbrella header is self-contained.
 #include "gooseberrysail/gooseberrysail.hpp"
 
 #include <gtest/gtest.h>
