--- a/tests/unit/platform_test.cpp
+++ b/tests/unit/platform_test.cpp
@@ -61,7 +61,7 @@
   EXPECT_EQ(document.limits.idleTimeout, 15s);
 }
 
-TEST(PlatformConfig, BadOnesAreRefusedWhole)
+TEST(PlatformConfig, InvalidOnesAreRejected)
 {
   const std::vector<std::pair<std::string, std::string>> bad = {
     { "cut short", std::string(kConfig.substr(0, kConfig.size() / 2)) },
@@ -83,7 +83,7 @@
   }
 }
 
-/// A whole registration with `more` fields at its end.
+/// A complete registration with the fields `more` appended.
 std::string Registration(std::string_view more = "")
 {
   return R"({"service":"s1","address":"10.0.0.9:8080","zone":"z1","version":"v1","slots":34,)"
@@ -91,7 +91,7 @@
          std::string(more) + "}";
 }
 
-/// A whole registration with one piece replaced.
+/// A complete registration in which `from` is replaced by `to`.
 std::string Edited(std::string_view from, std::string_view to)
 {
   std::string text = Registration(R"(,"born":7,"staged":["m0"],"models":[{"name":"m0"}],"group":)"
@@ -99,10 +99,10 @@
   return text.replace(text.find(from), from.size(), to);
 }
 
-// Symptom: a replica that serves drops out, or a wrong one is used. Sequence: another writer puts
-// an entry under its id, with fields missing or of another type, or words that have no meaning
-// here. Cause: what could not be read counted as zero, "" or ready.
-TEST(PlatformRegistration, OfAnotherWriterNamesNoReplica)
+// Another writer sends a registration under a replica's id, with fields missing, of another type or
+// with unknown values. If these were read as zero, "" or ready, a serving replica would drop out or
+// a wrong one would be used.
+TEST(PlatformRegistration, FromAnotherWriterIsRejected)
 {
   ASSERT_TRUE(ReadRegistration("i-1", Edited("v1", "v2")));
   SECTION("a field is missing")
@@ -137,12 +137,12 @@
       EXPECT_FALSE(ReadRegistration("i-1", Edited(from, to))) << to;
     }
   }
-  SECTION("a state has no name here")
+  SECTION("a state is unknown")
   {
     EXPECT_FALSE(ReadRegistration("i-1", Edited(R"("state":"ready")", R"("state":"warm")")));
     EXPECT_FALSE(ReadRegistration("i-1", Edited(R"("state":"open")", R"("state":"ajar")")));
   }
-  SECTION("it is huge, or nested without end")
+  SECTION("it is too large or nested too deeply")
   {
     EXPECT_FALSE(
       ReadRegistration("i-1", Registration(",\"x\":\"" + std::string(20'000, 'x') + "\"")));
@@ -171,21 +171,21 @@
     ASSERT_TRUE(free) << free.error();
     EXPECT_EQ(free.value().membership.group, "");
   }
-  // Symptom: control ends for want of memory. Cause: a rank of billions in one heartbeat.
-  // A count of 10^300 that was taken for a bounded one would make all later heartbeats late.
-  SECTION("with an absurd rank or count it is refused")
+  // A rank of billions would exhaust control's memory. A sequence of 10^300, clamped to the largest
+  // count, would make all later heartbeats look late.
+  SECTION("with a rank or count out of range it is refused")
   {
     EXPECT_FALSE(ReadRegistration(
       "i-2", Registration(R"(,"group":{"name":"g","epoch":1,"rank":4000000000,"state":"ready"})")));
     EXPECT_FALSE(ReadRegistration("i-2", Edited(R"("seq":4)", R"("seq":1e300)")));
   }
-  SECTION("with the start of its life")
+  SECTION("with its start time")
   {
-    const auto told = ReadRegistration("i-2", Registration(R"(,"born":1796265600123)"));
-    ASSERT_TRUE(told);
-    EXPECT_EQ(told.value().born, Incarnation(1'796'265'600'123));
+    const auto withStart = ReadRegistration("i-2", Registration(R"(,"born":1796265600123)"));
+    ASSERT_TRUE(withStart);
+    EXPECT_EQ(withStart.value().born, Incarnation(1'796'265'600'123));
   }
-  SECTION("not without a service or an address, nor as no object")
+  SECTION("not without a service or an address, and not unless it is an object")
   {
     EXPECT_FALSE(ReadRegistration("i-3", R"({"service":"s1","seq":1})"));
     EXPECT_FALSE(ReadRegistration("i-3", R"({"address":"10.0.0.9:1","seq":1})"));
@@ -204,7 +204,7 @@
   return request;
 }
 
-TEST(PlatformControl, DecodesCallsAndRefusesWhatItDoesNotKnow)
+TEST(PlatformControl, DecodesCallsAndRejectsUnknownOnes)
 {
   const OutsideApi api = MakeOutsideApi("10.0.0.1:8229");
   EXPECT_TRUE(std::holds_alternative<PutDocumentCall>(*api.decode(Request("PUT", "/api/config"))));
@@ -217,7 +217,7 @@
   EXPECT_FALSE(api.decode(Request("GET", "/admin/v1/status")).has_value());
 }
 
-TEST(PlatformControl, PointsToTheLeader)
+TEST(PlatformControl, RedirectsToTheLeader)
 {
   const OutsideApi api = MakeOutsideApi("10.0.0.1:8229");
   const HttpAnswerOut answer =
@@ -247,7 +247,7 @@
   EXPECT_EQ(api.decodeReport(R"({"stage":"both","pace":12.0,"models":[{"pace":1}]})").pace, 12.0);
   EXPECT_EQ(api.decodeReport(R"({"stage":"both"})").pace, std::nullopt);
   EXPECT_EQ(api.decodeReport("{").pace, std::nullopt);
-  SECTION("a report is answered by whoever is at the address; an order that changes nothing is not")
+  SECTION("an identification is sent as an order that changes nothing, not as a report request")
   {
     order.kind = GroupOrderKind::kIdentify;
     const TargetCallOut question = api.encodeOrder(ExchangeId(6), order);
@@ -256,7 +256,7 @@
     EXPECT_THAT(question.body, HasSubstr(R"("op":"leave")"));
     EXPECT_THAT(question.body, ::testing::Not(HasSubstr("g7")));
   }
-  SECTION("a report tells the group, or that there is none")
+  SECTION("a report contains the group, or shows that there is none")
   {
     const auto inGroup =
       api.decodeReport(R"({"models":[],"group":{"name":"g7","epoch":12,"rank":1,"state":"open"}})");
@@ -269,9 +269,9 @@
   }
 }
 
-// Symptom: a caller's key reaches a target, or a caller names its own workspace.
-// Sequence: the caller sends the headers that the entry sets itself.
-TEST(PlatformGateway, TheEntrysOwnHeadersAreNeverTheCallers)
+// A caller sends headers that only the entry may set. They must not reach the target, or a caller
+// could choose its workspace, and its key would be passed on.
+TEST(PlatformGateway, ReservedHeadersOfCallersAreDropped)
 {
   const GatewayApi api = MakeGatewayApi();
   HttpRequestIn request = Request("POST", "/a/x?q=1", "body");
@@ -317,7 +317,7 @@
   }
 }
 
-TEST(PlatformGateway, ReadsWhatATargetPromises)
+TEST(PlatformGateway, ReadsWhetherATargetExecutedTheRequest)
 {
   const GatewayApi api = MakeGatewayApi();
   TargetAnswerIn part;
@@ -330,7 +330,8 @@
   EXPECT_TRUE(api.decodeHead(part).neverRan);
 }
 
-/// One to four edits: a byte of any value, a piece cut out, a character of the format put in.
+/// Applies one to four random edits: replaces a byte, deletes up to 19 bytes or inserts a character
+/// of the format.
 std::string Mutate(std::string text, std::mt19937& random)
 {
   for (unsigned edits = random() % 4 + 1; edits > 0 && !text.empty(); --edits) {
@@ -350,8 +351,8 @@
   return text;
 }
 
-// Each decoder meets bytes of anybody's making: none may crash, hang or take nonsense for a call.
-TEST(PlatformFuzz, DecodersStandMutatedInput)
+// Decoders receive untrusted bytes: none may crash, hang or accept an invalid message.
+TEST(PlatformFuzz, DecodersTolerateMutatedInput)
 {
   std::mt19937 random(7);
   const std::string registration =
@@ -373,8 +374,8 @@
   }
 }
 
-// The same for what callers say in headers, and for what replicas answer to probes.
-TEST(PlatformFuzz, HeadersAndReportsStandMutatedInput)
+// The same for the headers of callers and for the answers of replicas to probes.
+TEST(PlatformFuzz, HeadersAndReportsTolerateMutatedInput)
 {
   std::mt19937 random(11);
   const GatewayApi gateway = MakeGatewayApi();
@@ -408,9 +409,9 @@
   return text.str();
 }
 
-// The names of the platform's wire stand in platform/ alone, so that its next change of names meets
-// one small folder.
-TEST(PlatformBoundary, NothingOutsideKnowsThePlatformsNames)
+// Only platform/ may contain the names of the platform's protocol, so that a change of them affects
+// only that folder.
+TEST(PlatformBoundary, OnlyThePlatformFolderContainsItsNames)
 {
   const std::vector<std::string> names = {
     "X-Response-Seal", "X-Not-Executed",     "X-Expect-Instance", "X-Token-Count",
