--- a/include/gooseberrysail/agent/gate.hpp
+++ b/include/gooseberrysail/agent/gate.hpp
@@ -10,7 +10,7 @@
 
 namespace gooseberrysail {
 
-/// \brief Why the gate before the target is closed.
+/// \brief Why the gate in front of the target is closed.
 enum class GateReason : std::uint8_t
 {
   kOpen,
--- a/include/gooseberrysail/agent/group_system.hpp
+++ b/include/gooseberrysail/agent/group_system.hpp
@@ -28,7 +28,7 @@
     EngineOrders& orders;
   };
   GroupSystem(const AgentSettings& settings,
-              Dependencies parts,
+              Dependencies dependencies,
               std::function<std::uint64_t()> random);
 
   void OnAssign(impl::AgentContext& context,
--- a/src/agent/group_system.cpp
+++ b/src/agent/group_system.cpp
@@ -36,10 +36,10 @@
 } // namespace
 
 GroupSystem::GroupSystem(const AgentSettings& settings,
-                         Dependencies parts,
+                         Dependencies dependencies,
                          std::function<std::uint64_t()> random)
   : m_settings(settings)
-  , m_dependencies(parts)
+  , m_dependencies(dependencies)
   , m_random(std::move(random))
   , m_membership(settings.vm)
 {
@@ -212,11 +212,11 @@
   if (!assignment) {
     return {};
   }
-  const Catalogue& copy = m_dependencies.config.LocalCatalogue();
-  if (const ModelSpec* model = copy.FindModel(assignment->entry)) {
+  const Catalogue& catalogue = m_dependencies.config.LocalCatalogue();
+  if (const ModelSpec* model = catalogue.FindModel(assignment->entry)) {
     return { model->maxConcurrent, model->maxQueued };
   }
-  if (const ServiceSpec* service = copy.FindService(assignment->entry)) {
+  if (const ServiceSpec* service = catalogue.FindService(assignment->entry)) {
     return { service->maxConcurrent, service->maxQueued };
   }
   return {};
