--- a/bench/net_roundtrip.cpp
+++ b/bench/net_roundtrip.cpp
@@ -147,9 +147,9 @@
       const Duration before = ProcessorTime();
       for (std::size_t i = 0; i < kRoundTrips; ++i) {
         const TimePoint sent = BootNow();
-        const std::size_t wanted = m_received + 1;
+        const std::size_t expected = m_received + 1;
         SendOutput(bytes);
-        while (m_received < wanted) {
+        while (m_received < expected) {
           m_changed.Wait();
         }
         micros.push_back(Micros(BootNow() - sent));
