--- a/bench/http_roundtrip.cpp
+++ b/bench/http_roundtrip.cpp
@@ -71,7 +71,7 @@
   {
     HttpClientSettings settings;
     settings.maxIdlePerAddress = 1000;
-    settings.idleFor = kPatience;
+    settings.idleTimeout = kPatience;
     return settings;
   }
 
--- a/include/gooseberrysail/http/http_client.hpp
+++ b/include/gooseberrysail/http/http_client.hpp
@@ -17,7 +17,7 @@
 struct HttpClientSettings
 {
   Duration connectTimeout = std::chrono::seconds(2);
-  Duration idleFor = std::chrono::seconds(15); ///< How long an unused connection is kept.
+  Duration idleTimeout = std::chrono::seconds(15); ///< How long an unused connection is kept.
   std::size_t maxIdlePerAddress = 64;
   std::uint32_t maxHeaderBytes = 64 * 1024;
   std::uint64_t maxFetchedBytes = 64 * 1024 * 1024; ///< Largest body that Fetch takes.
--- a/src/http/http_client.cpp
+++ b/src/http/http_client.cpp
@@ -104,7 +104,7 @@
     // The latest used first: the others may expire.
     Idle last = std::move(found->second.back());
     found->second.pop_back();
-    if (BootNow() - last.since < settings.idleFor && IsUsable(last.socket)) {
+    if (BootNow() - last.since < settings.idleTimeout && IsUsable(last.socket)) {
       call.Reuse(std::move(last.socket));
       return;
     }
@@ -119,7 +119,7 @@
   }
   kept.push_back(Idle{ call.TakeSocket(), BootNow() });
   if (!expiry.IsArmed()) {
-    expiry.Arm(settings.idleFor, [this] { ExpireIdle(); });
+    expiry.Arm(settings.idleTimeout, [this] { ExpireIdle(); });
   }
 }
 
@@ -127,13 +127,13 @@
 {
   const TimePoint now = BootNow();
   for (auto& [address, kept] : idle) {
-    while (!kept.empty() && now - kept.front().since >= settings.idleFor) {
+    while (!kept.empty() && now - kept.front().since >= settings.idleTimeout) {
       kept.pop_front();
     }
   }
   std::erase_if(idle, [](const auto& row) { return row.second.empty(); });
   if (!idle.empty()) {
-    expiry.Arm(settings.idleFor, [this] { ExpireIdle(); });
+    expiry.Arm(settings.idleTimeout, [this] { ExpireIdle(); });
   }
 }
 
--- a/src/shell/gateway_shell.cpp
+++ b/src/shell/gateway_shell.cpp
@@ -30,7 +30,7 @@
 {
   HttpClientSettings client;
   client.connectTimeout = kConnectTimeout;
-  client.idleFor = kIdleFor;
+  client.idleTimeout = kIdleFor;
   // Some targets end an answer by closing; one that is reset on the way fails all the same.
   client.acceptCloseDelimited = true;
   return client;
--- a/tests/fakes/relay.cpp
+++ b/tests/fakes/relay.cpp
@@ -157,15 +157,15 @@
   return m_impl->listenAddress;
 }
 
-void Relay::SwallowExisting(Swallow what)
+void Relay::BlackholeExisting(Direction what)
 {
   for (const auto& link : m_impl->links) {
-    link->swallowToTarget = link->swallowToTarget || what != Swallow::kToCaller;
-    link->swallowToCaller = link->swallowToCaller || what != Swallow::kToTarget;
+    link->swallowToTarget = link->swallowToTarget || what != Direction::kToCaller;
+    link->swallowToCaller = link->swallowToCaller || what != Direction::kToTarget;
   }
 }
 
-void Relay::CutExisting()
+void Relay::ResetExisting()
 {
   for (const auto& link : m_impl->links) {
     Reset(link->caller);
--- a/tests/fakes/relay.hpp
+++ b/tests/fakes/relay.hpp
@@ -15,7 +15,7 @@
 {
 public:
   /// \brief Which bytes an established connection loses from now on.
-  enum class Swallow
+  enum class Direction
   {
     kToTarget,
     kToCaller,
@@ -32,10 +32,10 @@
 
   /// \brief The connections open now lose these bytes for good, without being closed; the ends of
   /// them that one side closes are lost as well. New connections work.
-  void SwallowExisting(Swallow what);
+  void BlackholeExisting(Direction what);
 
   /// \brief Resets every open connection.
-  void CutExisting();
+  void ResetExisting();
 
   /// \brief New connections are accepted and closed at once.
   void RefuseNew(bool refuse);
--- a/tests/process/silent_connection_test.cpp
+++ b/tests/process/silent_connection_test.cpp
@@ -39,7 +39,7 @@
   call.onBody = [&](const std::string& soFar) {
     if (!soFar.empty() && !swallowed) {
       swallowed = true;
-      relay.SwallowExisting();
+      relay.BlackholeExisting();
     }
   };
   const HttpReply answer = Call(call);
--- a/tests/soak/soak.cpp
+++ b/tests/soak/soak.cpp
@@ -177,12 +177,12 @@
   void CutConnections()
   {
     Note("connections to a replica are reset");
-    Any(m_replicas)->Relay().CutExisting();
+    Any(m_replicas)->Relay().ResetExisting();
   }
   void SilenceRelay()
   {
     Note("open connections to a replica fall silent");
-    Any(m_replicas)->Relay().SwallowExisting();
+    Any(m_replicas)->Relay().BlackholeExisting();
   }
   void DelayRelay()
   {
--- a/tests/support/http_exchange.hpp
+++ b/tests/support/http_exchange.hpp
@@ -13,11 +13,11 @@
 namespace gooseberrysail::tests {
 
 /// \brief A server that notes what its hooks are told and answers only as the test says.
-class NotingServer
+class RecordingServer
 {
 public:
-  explicit NotingServer(IoRuntime& runtime,
-                        const std::function<void(HttpServerSettings&)>& adjust = {})
+  explicit RecordingServer(IoRuntime& runtime,
+                           const std::function<void(HttpServerSettings&)>& adjust = {})
     : server(runtime, MakeSettings(adjust), MakeHooks())
   {
     started = server.Start().has_value();
@@ -88,10 +88,10 @@
 };
 
 /// \brief A client that notes what its hooks are told.
-class NotingClient
+class RecordingClient
 {
 public:
-  explicit NotingClient(IoRuntime& runtime, const HttpClientSettings& settings = {})
+  explicit RecordingClient(IoRuntime& runtime, const HttpClientSettings& settings = {})
     : client(runtime, settings, MakeHooks())
   {
   }
--- a/tests/support/mesh_process.hpp
+++ b/tests/support/mesh_process.hpp
@@ -52,7 +52,7 @@
 
   bool WaitFor(const std::function<bool()>& condition) { return WaitUntil(changed, condition); }
 
-  bool WaitForStep(const std::string& step, std::size_t times = 1)
+  bool WaitForTransition(const std::string& step, std::size_t times = 1)
   {
     return WaitFor([&] { return Steps(step) >= times; });
   }
--- a/tests/support/relay_thread.cpp
+++ b/tests/support/relay_thread.cpp
@@ -21,14 +21,14 @@
   m_thread.join();
 }
 
-void RelayThread::SwallowExisting()
+void RelayThread::BlackholeExisting()
 {
-  Do([](fakes::Relay& relay) { relay.SwallowExisting(fakes::Relay::Swallow::kBoth); });
+  Do([](fakes::Relay& relay) { relay.BlackholeExisting(fakes::Relay::Direction::kBoth); });
 }
 
-void RelayThread::CutExisting()
+void RelayThread::ResetExisting()
 {
-  Do([](fakes::Relay& relay) { relay.CutExisting(); });
+  Do([](fakes::Relay& relay) { relay.ResetExisting(); });
 }
 
 void RelayThread::SetDelay(Duration delay)
--- a/tests/support/relay_thread.hpp
+++ b/tests/support/relay_thread.hpp
@@ -20,9 +20,9 @@
   [[nodiscard]] const std::string& Address() const { return m_address; }
 
   /// \brief The connections open now lose all bytes from now on; new ones work.
-  void SwallowExisting();
+  void BlackholeExisting();
   /// \brief Resets every open connection.
-  void CutExisting();
+  void ResetExisting();
   void SetDelay(Duration delay);
 
 private:
--- a/tests/unit/http_client_test.cpp
+++ b/tests/unit/http_client_test.cpp
@@ -6,15 +6,15 @@
 namespace {
 
 using tests::kPatience;
-using tests::NotingClient;
-using tests::NotingServer;
 using tests::RawServer;
+using tests::RecordingClient;
+using tests::RecordingServer;
 
 TEST(HttpClient, StreamsAnAnswerPartByPart)
 {
   IoRuntime runtime;
-  NotingServer target(runtime);
-  NotingClient agent(runtime);
+  RecordingServer target(runtime);
+  RecordingClient agent(runtime);
   agent.Start(target.address, 7, Duration::zero(), "prompt");
   EXPECT_EQ(target.Request(1).body, "prompt");
   EXPECT_EQ(FindHeader(target.Request(1).headers, "Host"), target.address);
@@ -35,7 +35,7 @@
 TEST(HttpClient, ReusesAConnectionWhoseAnswerWasWhole)
 {
   IoRuntime runtime;
-  NotingServer target(runtime);
+  RecordingServer target(runtime);
   target.onRequest = [&](const HttpRequestIn& request) { target.Send(request, "ok", true); };
   HttpClient client(runtime, {});
   for (int i = 0; i < 3; ++i) {
@@ -65,7 +65,7 @@
     {
       IoRuntime runtime;
       RawServer target(runtime, bytes);
-      NotingClient agent(runtime);
+      RecordingClient agent(runtime);
       agent.Start(target.address, 1);
       ASSERT_TRUE(agent.WaitFor([&] { return !agent.failures.empty(); }));
       EXPECT_FALSE(agent.IsWhole());
@@ -97,7 +97,7 @@
       RawServer gone(runtime, "");
       address = gone.address;
     }
-    NotingClient agent(runtime);
+    RecordingClient agent(runtime);
     agent.Start(address, 1);
     ASSERT_TRUE(agent.WaitFor([&] { return !agent.failures.empty(); }));
     EXPECT_TRUE(agent.failures[0].neverSent);
@@ -105,7 +105,7 @@
   }
   SECTION("a path that would forge a second request is never sent")
   {
-    NotingServer target(runtime);
+    RecordingServer target(runtime);
     HttpClient client(runtime, {});
     const auto reply = client.Fetch(target.address, "GET", "/ HTTP/1.1\r\nX: y", {}, "", kPatience);
     ASSERT_FALSE(reply);
@@ -114,8 +114,8 @@
   }
   SECTION("the target got the request and says nothing")
   {
-    NotingServer target(runtime);
-    NotingClient agent(runtime);
+    RecordingServer target(runtime);
+    RecordingClient agent(runtime);
     agent.Start(target.address, 1, std::chrono::milliseconds(50));
     ASSERT_TRUE(agent.WaitFor([&] { return !agent.failures.empty(); }));
     EXPECT_FALSE(agent.failures[0].neverSent);
@@ -130,8 +130,8 @@
 TEST(HttpClient, ACancelledCallIsSeenByTheTargetAndNoHookIsCalled)
 {
   IoRuntime runtime;
-  NotingServer target(runtime);
-  NotingClient agent(runtime);
+  RecordingServer target(runtime);
+  RecordingClient agent(runtime);
   agent.Start(target.address, 1);
   target.Send(target.Request(1), "begun", false);
   ASSERT_TRUE(agent.WaitFor([&] { return agent.Body() == "begun"; }));
@@ -145,7 +145,7 @@
 TEST(HttpClient, AFetchThatIsNotWholeInTimeFails)
 {
   IoRuntime runtime;
-  NotingServer target(runtime);
+  RecordingServer target(runtime);
   target.onRequest = [&](const HttpRequestIn& request) { target.Send(request, "begun", false); };
   HttpClient client(runtime, {});
   const auto reply =
@@ -158,7 +158,7 @@
 TEST(HttpClient, AnAnswerOverTheLimitIsNotCollected)
 {
   IoRuntime runtime;
-  NotingServer target(runtime);
+  RecordingServer target(runtime);
   target.onRequest = [&](const HttpRequestIn& request) {
     target.Send(request, std::string(5000, 'x'), true);
   };
@@ -173,7 +173,7 @@
 TEST(HttpClient, CarriesALargeBodyAndAnswerWhole)
 {
   IoRuntime runtime;
-  NotingServer target(runtime);
+  RecordingServer target(runtime);
   target.onRequest = [&](const HttpRequestIn& request) {
     target.Send(request, request.body, true);
   };
--- a/tests/unit/http_server_test.cpp
+++ b/tests/unit/http_server_test.cpp
@@ -6,8 +6,8 @@
 namespace {
 
 using tests::kPatience;
-using tests::NotingServer;
 using tests::RawConnection;
+using tests::RecordingServer;
 
 constexpr const char* kGet = "GET /health HTTP/1.1\r\nHost: x\r\n\r\n";
 
@@ -19,7 +19,7 @@
 TEST(HttpServer, AnswersOneRequestAfterAnotherOnOneConnection)
 {
   IoRuntime runtime;
-  NotingServer server(runtime);
+  RecordingServer server(runtime);
   ASSERT_TRUE(server.started);
   RawConnection caller(runtime, server.address);
 
@@ -76,7 +76,7 @@
   IoRuntime runtime;
   SECTION("chunked: the last chunk is missing")
   {
-    NotingServer server(runtime);
+    RecordingServer server(runtime);
     RawConnection caller(runtime, server.address);
     caller.Write(kGet);
     server.Send(server.Request(1), "half", false);
@@ -89,7 +89,7 @@
   }
   SECTION("HTTP/1.0 has no chunks: nothing is sent before the end is known")
   {
-    NotingServer server(runtime);
+    RecordingServer server(runtime);
     RawConnection caller(runtime, server.address);
     caller.Write("GET / HTTP/1.0\r\n\r\n");
     server.Send(server.Request(1), "half", false);
@@ -98,7 +98,7 @@
   }
   SECTION("HTTP/1.0: a stream that ends is sent with its length")
   {
-    NotingServer server(runtime);
+    RecordingServer server(runtime);
     RawConnection caller(runtime, server.address);
     caller.Write("GET / HTTP/1.0\r\n\r\n");
     server.Send(server.Request(1), "half", false);
@@ -141,7 +141,7 @@
       "413 " },
   };
   IoRuntime runtime;
-  NotingServer server(runtime, [](HttpServerSettings& settings) {
+  RecordingServer server(runtime, [](HttpServerSettings& settings) {
     settings.maxHeaderBytes = 1000;
     settings.maxBodyBytes = 2000;
   });
@@ -176,7 +176,7 @@
 TEST(HttpServer, NoticesThatTheCallerLeftWhileItsAnswerIsPending)
 {
   IoRuntime runtime;
-  NotingServer server(runtime);
+  RecordingServer server(runtime);
   SECTION("before the answer began")
   {
     RawConnection caller(runtime, server.address);
@@ -214,7 +214,7 @@
 TEST(HttpServer, AnswersPipelinedRequestsInOrder)
 {
   IoRuntime runtime;
-  NotingServer server(runtime);
+  RecordingServer server(runtime);
   RawConnection caller(runtime, server.address);
   caller.Write(std::string(kGet) + kGet);
   server.Send(server.Request(1), "first", true);
@@ -227,7 +227,7 @@
 TEST(HttpServer, CutsACallerWhoReadsTooSlowly)
 {
   IoRuntime runtime;
-  NotingServer server(
+  RecordingServer server(
     runtime, [](HttpServerSettings& settings) { settings.maxQueuedAnswerBytes = 1024 * 1024; });
   RawConnection caller(runtime, server.address);
   caller.Write(kGet);
@@ -248,7 +248,7 @@
 TEST(HttpServer, AGracefulStopCutsNoRequestInFlight)
 {
   IoRuntime runtime;
-  NotingServer server(runtime);
+  RecordingServer server(runtime);
   RawConnection idle(runtime, server.address);
   RawConnection busy(runtime, server.address);
   idle.Write(kGet);
@@ -286,7 +286,7 @@
 TEST(HttpServer, ClosesCallersWhoSendTooSlowly)
 {
   IoRuntime runtime;
-  NotingServer server(runtime, [](HttpServerSettings& settings) {
+  RecordingServer server(runtime, [](HttpServerSettings& settings) {
     settings.requestTimeout = std::chrono::milliseconds(50);
     settings.idleTimeout = std::chrono::milliseconds(50);
   });
@@ -303,7 +303,7 @@
 TEST(HttpServer, DropsHeadersThatWouldForgeOthers)
 {
   IoRuntime runtime;
-  NotingServer server(runtime);
+  RecordingServer server(runtime);
   RawConnection caller(runtime, server.address);
   caller.Write(kGet);
   HttpAnswerOut part;
--- a/tests/unit/idle_cost_test.cpp
+++ b/tests/unit/idle_cost_test.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 using tests::MeshProcess;
-using tests::NotingServer;
+using tests::RecordingServer;
 
 Duration ProcessorTime()
 {
@@ -32,13 +32,13 @@
   bool stopping = false;
   Signal tick;
   IoRuntime runtime;
-  NotingServer server(runtime);
+  RecordingServer server(runtime);
   MeshProcess entry(runtime, "entry-1");
   std::vector<std::unique_ptr<MeshProcess>> agents;
   for (int i = 0; i < kPeers; ++i) {
     agents.push_back(std::make_unique<MeshProcess>(runtime, "agent-" + std::to_string(i)));
     entry.SendNumber(*agents.back(), 1, agents.back()->mesh.ListenAddress());
-    ASSERT_TRUE(agents.back()->WaitForStep("up entry-1"));
+    ASSERT_TRUE(agents.back()->WaitForTransition("up entry-1"));
   }
   runtime.Spawn([&] {
     while (!stopping) {
--- a/tests/unit/peer_mesh_test.cpp
+++ b/tests/unit/peer_mesh_test.cpp
@@ -94,7 +94,7 @@
 TEST(PeerMesh, ASilentConnectionIsReplacedWithinTheTimeout)
 {
   for (const auto swallow :
-       { Relay::Swallow::kBoth, Relay::Swallow::kToTarget, Relay::Swallow::kToCaller }) {
+       { Relay::Direction::kBoth, Relay::Direction::kToTarget, Relay::Direction::kToCaller }) {
     IoRuntime runtime;
     MeshProcess entry(runtime, "entry-1", QuickHeartbeats);
     MeshProcess agent(runtime, "agent-1", QuickHeartbeats);
@@ -104,11 +104,11 @@
     ASSERT_TRUE(agent.WaitFor([&] { return agent.numbers.size() == 1; }));
 
     const TimePoint swallowed = BootNow();
-    relay.SwallowExisting(swallow);
+    relay.BlackholeExisting(swallow);
     SECTION("both notice, and the old connection is down before the new one is up")
     {
-      ASSERT_TRUE(entry.WaitForStep("up agent-1", 2));
-      ASSERT_TRUE(agent.WaitForStep("up entry-1", 2));
+      ASSERT_TRUE(entry.WaitForTransition("up agent-1", 2));
+      ASSERT_TRUE(agent.WaitForTransition("up entry-1", 2));
       const std::vector<std::string> story{ "up agent-1", "down agent-1", "up agent-1" };
       EXPECT_EQ(entry.diary, story);
     }
@@ -132,7 +132,7 @@
 // Cause: taking what arrives as proof that what leaves arrives, too.
 TEST(PeerMesh, TheAcceptingSideNoticesByItselfThatItsBytesAreLost)
 {
-  for (const auto swallow : { Relay::Swallow::kToCaller, Relay::Swallow::kToTarget }) {
+  for (const auto swallow : { Relay::Direction::kToCaller, Relay::Direction::kToTarget }) {
     IoRuntime runtime;
     MeshProcess entry(runtime, "entry-1", [](PeerMeshSettings& settings) {
       settings.heartbeatInterval = kSilence / 4;
@@ -145,8 +145,8 @@
     ASSERT_TRUE(agent.WaitFor([&] { return agent.numbers.size() == 1; }));
     runtime.SleepFor(2 * kSilence);
     EXPECT_EQ(agent.diary, std::vector<std::string>{ "up entry-1" });
-    relay.SwallowExisting(swallow);
-    ASSERT_TRUE(agent.WaitForStep("up entry-1", 2));
+    relay.BlackholeExisting(swallow);
+    ASSERT_TRUE(agent.WaitForTransition("up entry-1", 2));
     EXPECT_EQ(agent.mesh.Counters().silent, 1U);
   }
 }
@@ -168,8 +168,8 @@
   entry.SendNumber(agent, 1, relay.ListenAddress());
   ASSERT_TRUE(agent.WaitFor([&] { return agent.numbers.size() == 1; }));
   relay.RefuseNew(true);
-  relay.SwallowExisting(Relay::Swallow::kBoth);
-  ASSERT_TRUE(entry.WaitForStep("down agent-1"));
+  relay.BlackholeExisting(Relay::Direction::kBoth);
+  ASSERT_TRUE(entry.WaitForTransition("down agent-1"));
   EXPECT_EQ(entry.diary, (std::vector<std::string>{ "up agent-1", "down agent-1" }));
   EXPECT_EQ(entry.mesh.ConnectionCount(), 0U);
 }
@@ -199,9 +199,9 @@
   ASSERT_TRUE(relay.Start());
   entry.SendNumber(agent, 1, relay.ListenAddress());
   ASSERT_TRUE(agent.WaitFor([&] { return agent.numbers.size() == 1; }));
-  relay.CutExisting();
-  ASSERT_TRUE(entry.WaitForStep("down agent-1"));
-  ASSERT_TRUE(agent.WaitForStep("down entry-1"));
+  relay.ResetExisting();
+  ASSERT_TRUE(entry.WaitForTransition("down agent-1"));
+  ASSERT_TRUE(agent.WaitForTransition("down entry-1"));
   runtime.SleepFor(2 * kSilence);
   EXPECT_EQ(relay.Accepted(), 1U);
   entry.SendNumber(agent, 2, relay.ListenAddress());
@@ -217,7 +217,7 @@
   const std::string address = agent->mesh.ListenAddress();
   agent->mesh.Close();
   entry.SendNumber(*agent, 1, address);
-  ASSERT_TRUE(entry.WaitForStep("down agent-1"));
+  ASSERT_TRUE(entry.WaitForTransition("down agent-1"));
   ASSERT_EQ(entry.Events(EventNumber::kPeerDialFailed).size(), 1U);
   const EventOut event = entry.Events(EventNumber::kPeerDialFailed)[0];
   EXPECT_EQ(Field(event, "peer"), "agent-1");
@@ -231,11 +231,11 @@
   MeshProcess entry(runtime, "entry-1");
   auto first = std::make_unique<MeshProcess>(runtime, "agent-1");
   first->SendNumber(entry, 1, entry.mesh.ListenAddress());
-  ASSERT_TRUE(entry.WaitForStep("up agent-1"));
+  ASSERT_TRUE(entry.WaitForTransition("up agent-1"));
   MeshProcess second(
     runtime, "agent-1", [](PeerMeshSettings& settings) { settings.incarnation = Incarnation(2); });
   second.SendNumber(entry, 2, entry.mesh.ListenAddress());
-  ASSERT_TRUE(entry.WaitForStep("up agent-1", 2));
+  ASSERT_TRUE(entry.WaitForTransition("up agent-1", 2));
   ASSERT_EQ(entry.downs.size(), 1U);
   EXPECT_EQ(entry.downs[0].incarnation, Incarnation(1));
   EXPECT_EQ(entry.ups[1].incarnation, Incarnation(2));
@@ -248,7 +248,7 @@
   MeshProcess stranger(
     runtime, "stranger", [](PeerMeshSettings& settings) { settings.clusterKey = "another key"; });
   stranger.SendNumber(entry, 1, entry.mesh.ListenAddress());
-  ASSERT_TRUE(stranger.WaitForStep("down entry-1"));
+  ASSERT_TRUE(stranger.WaitForTransition("down entry-1"));
   ASSERT_TRUE(entry.WaitFor([&] { return !entry.Events(EventNumber::kPeerRefused).empty(); }));
   const EventOut event = entry.Events(EventNumber::kPeerRefused)[0];
   EXPECT_EQ(Field(event, "step"), "read proof");
@@ -264,7 +264,7 @@
   MeshProcess agent(runtime, "agent-1");
   MeshProcess other(runtime, "agent-2");
   entry.SendNumber(agent, 1, other.mesh.ListenAddress());
-  ASSERT_TRUE(entry.WaitForStep("down agent-1"));
+  ASSERT_TRUE(entry.WaitForTransition("down agent-1"));
   EXPECT_TRUE(other.numbers.empty());
   EXPECT_TRUE(entry.ups.empty());
 }
@@ -278,7 +278,7 @@
     runtime, "entry-1", [](PeerMeshSettings& settings) { settings.maxQueuedBytes = 1024 * 1024; });
   MeshProcess agent(runtime, "agent-1");
   entry.SendNumber(agent, 1, agent.mesh.ListenAddress());
-  ASSERT_TRUE(entry.WaitForStep("up agent-1"));
+  ASSERT_TRUE(entry.WaitForTransition("up agent-1"));
   wire::OutputT output;
   output.bytes.resize(300 * 1024);
   for (int i = 0; i < 4; ++i) {
--- a/tests/unit/peer_stranger_test.cpp
+++ b/tests/unit/peer_stranger_test.cpp
@@ -114,10 +114,10 @@
   wire::HelloProofT message;
   message.proof.assign(proof.begin(), proof.end());
   ASSERT_TRUE(peer.Write(Text(impl::EncodeFrame(*MakeEnvelope(std::move(message))))));
-  ASSERT_TRUE(entry.WaitForStep("up stranger"));
+  ASSERT_TRUE(entry.WaitForTransition("up stranger"));
 
   ASSERT_TRUE(peer.Write(std::string("\x08\0\0\0garbage!", 12)));
-  ASSERT_TRUE(entry.WaitForStep("down stranger"));
+  ASSERT_TRUE(entry.WaitForTransition("down stranger"));
   ASSERT_EQ(entry.Events(EventNumber::kPeerMalformed).size(), 1U);
   EXPECT_EQ(Field(entry.Events(EventNumber::kPeerMalformed)[0], "peer"), "stranger");
   EXPECT_EQ(Field(entry.Events(EventNumber::kPeerMalformed)[0], "step"), "decode frame");
