--- a/include/gooseberrysail/http/http_client.hpp
+++ b/include/gooseberrysail/http/http_client.hpp
@@ -14,26 +14,27 @@
 
 namespace gooseberrysail {
 
+/// \brief Timeouts and limits of an HttpClient.
 struct HttpClientSettings
 {
   Duration connectTimeout = std::chrono::seconds(2);
-  Duration idleTimeout = std::chrono::seconds(15); ///< How long an unused connection is kept.
+  Duration idleTimeout = std::chrono::seconds(15); ///< For unused connections.
   std::size_t maxIdlePerAddress = 64;
   std::uint32_t maxHeaderBytes = 64 * 1024;
-  std::uint64_t maxFetchedBytes = 64 * 1024 * 1024; ///< Largest body that Fetch takes.
-  /// \brief Whether an answer without length or chunking, ended by closing, counts as whole.
-  /// \remarks Such an answer looks the same when the server died half way.
+  std::uint64_t maxFetchedBytes = 64 * 1024 * 1024; ///< Largest body that Fetch accepts.
+  /// \brief Whether to accept a response whose end is marked only by closing the connection.
+  /// \remarks Such a response can't be told from one that was cut off when the server failed.
   bool acceptCloseDelimited = false;
 };
 
-/// \brief What the client tells its owner. Hooks must not wait; they may call Start and Cancel.
+/// \brief Callbacks of the client. They must not block; they may call Start and Cancel.
 struct HttpClientHooks
 {
   std::function<void(TargetAnswerIn)> onAnswer;
   std::function<void(TargetFailedIn)> onFailed;
 };
 
-/// \brief A whole answer.
+/// \brief A complete response.
 struct HttpReply
 {
   unsigned status = 0;
@@ -41,7 +42,7 @@
   std::string body;
 };
 
-/// \brief An HTTP/1.1 client whose answers stream in part by part.
+/// \brief An HTTP/1.1 client that delivers responses in parts as they arrive.
 /// \code
 /// HttpClient client(runtime, {});
 /// Result<HttpReply> reply = client.Fetch("10.0.0.1:7200", "GET", "/healthz", {}, "", timeout);
@@ -50,19 +51,19 @@
 {
 public:
   HttpClient(IoRuntime& runtime, HttpClientSettings settings, HttpClientHooks hooks = {});
-  /// \brief Closes; must run in a fiber of the runtime's thread.
+  /// \brief Calls Close; must run in a fiber of the runtime's thread.
   ~HttpClient();
   HttpClient(const HttpClient&) = delete;
   HttpClient& operator=(const HttpClient&) = delete;
 
-  /// \brief Begins a call to `address` ("ip:port"); the hooks tell how it goes.
+  /// \brief Starts a call to `address` ("ip:port"); the hooks receive its response or failure.
   void Start(std::string_view address, TargetCallOut call);
 
-  /// \brief Closes the connection of a call; no hook is called for it any more.
+  /// \brief Closes the connection of a call; its hooks are not called any more.
   void Cancel(ExchangeId exchange);
 
-  /// \brief Makes a call and suspends the fiber until the whole answer is there.
-  /// \param timeout For the whole call.
+  /// \brief Makes a call and suspends the fiber until the response is complete.
+  /// \param timeout Limits the whole call.
   [[nodiscard]] Result<HttpReply> Fetch(std::string_view address,
                                         std::string_view method,
                                         std::string_view path,
--- a/include/gooseberrysail/http/http_server.hpp
+++ b/include/gooseberrysail/http/http_server.hpp
@@ -13,43 +13,45 @@
 
 namespace gooseberrysail {
 
+/// \brief Address, limits and timeouts of an HttpServer.
 struct HttpServerSettings
 {
-  std::string listenAddress; ///< "ip:port"; port 0 takes a free one.
+  std::string listenAddress; ///< "ip:port"; port 0 picks a free port.
   std::uint32_t maxHeaderBytes = 16 * 1024;
   std::uint64_t maxBodyBytes = 8 * 1024 * 1024;
   std::size_t maxConnections = 10000;
-  /// \brief Answer parts that the caller has not taken yet; more cuts its connection.
+  /// \brief Limit of unsent response bytes; the connection is closed when it is exceeded.
   std::size_t maxQueuedAnswerBytes = 16 * 1024 * 1024;
-  Duration idleTimeout = std::chrono::seconds(60);    ///< Between requests.
-  Duration requestTimeout = std::chrono::seconds(30); ///< From the first byte to the last.
-  Duration writeTimeout = std::chrono::seconds(30);   ///< For the caller to take one part.
+  Duration idleTimeout = std::chrono::seconds(60);    ///< While waiting for a request.
+  Duration requestTimeout = std::chrono::seconds(30); ///< From the first byte to the last byte.
+  Duration writeTimeout = std::chrono::seconds(30);   ///< For writing one part.
 };
 
-/// \brief What the server tells its owner. Hooks must not wait; they may call Send.
+/// \brief Callbacks of the server. They must not block; they may call Send.
 struct HttpServerHooks
 {
   std::function<void(HttpRequestIn)> onRequest;
   std::function<void(HttpCallerGone)> onCallerGone;
   std::function<void(EventOut)> onEvent; ///< May be empty.
-  /// \brief The body of an answer that the server gives by itself; empty: a JSON error.
+  /// \brief Returns the body of a response that the server generates; if empty, a JSON error.
   std::function<std::string(unsigned status, std::string_view message)> errorBody;
 };
 
+/// \brief Counters since the start of the server.
 struct HttpServerCounters
 {
-  std::uint64_t connections = 0; ///< Accepted since start.
+  std::uint64_t connections = 0; ///< Accepted connections.
   std::uint64_t requests = 0;
-  std::uint64_t rejected = 0;    ///< Answered by the server itself: malformed or over a limit.
-  std::uint64_t callersGone = 0; ///< Left before their answer was whole.
-  std::uint64_t aborted = 0;     ///< Answers cut by the owner or by a limit.
+  std::uint64_t rejected = 0;    ///< Malformed or over a limit; rejected by the server.
+  std::uint64_t callersGone = 0; ///< Disconnected before the response was complete.
+  std::uint64_t aborted = 0;     ///< Responses aborted by the owner or by a limit.
 };
 
-/// \brief An HTTP/1.1 server that hands requests over and streams answers part by part.
+/// \brief An HTTP/1.1 server that passes requests to a hook and sends responses in parts.
 /// \code
 /// HttpServer server(runtime, settings, hooks);
 /// BOOST_OUTCOME_TRY(server.Start());
-/// // In the owner's tick, for a request that onRequest brought:
+/// // In the owner's tick, for a request received through onRequest:
 /// HttpAnswerOut answer;
 /// answer.exchange = request.exchange;
 /// answer.status = 200;
@@ -61,36 +63,36 @@
 {
 public:
   HttpServer(IoRuntime& runtime, HttpServerSettings settings, HttpServerHooks hooks);
-  /// \brief Closes; must run in a fiber of the runtime's thread.
+  /// \brief Calls Close; must run in a fiber of the runtime's thread.
   ~HttpServer();
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
-  /// \brief Begins to listen.
+  /// \brief Starts listening.
   [[nodiscard]] Result<void> Start();
 
-  /// \brief Where it listens, with the port that port 0 became.
+  /// \brief The bound address, with the actual port where port 0 was configured.
   [[nodiscard]] std::string ListenAddress() const;
 
-  /// \brief Queues a part of an answer; parts of exchanges that ended are dropped.
+  /// \brief Queues a part of a response; parts of ended exchanges are discarded.
   void Send(HttpAnswerOut part);
 
-  /// \brief Bytes of this answer that the caller has not taken yet; 0 for an ended exchange.
+  /// \brief Unsent bytes of the response; 0 for an ended exchange.
   [[nodiscard]] std::size_t QueuedBytes(ExchangeId exchange) const;
 
-  /// \brief Refuses new connections and closes each existing one after its present answer.
+  /// \brief Refuses new connections and closes each open one after its current response.
   void StopAccepting();
 
-  /// \brief Waits until every connection ended, after StopAccepting.
-  /// \returns False when `timeout` passed first.
+  /// \brief Waits until all connections have ended; call StopAccepting first.
+  /// \returns False if `timeout` expired first.
   bool WaitDrained(Duration timeout);
 
-  /// \brief Cuts every connection and waits for the server's fibers to end.
+  /// \brief Closes every connection at once and waits for the server's fibers to end.
   void Close();
 
   [[nodiscard]] const HttpServerCounters& Counters() const noexcept;
 
-  /// \brief Exchanges whose answer is not whole yet.
+  /// \brief Number of exchanges whose response is not complete.
   [[nodiscard]] std::size_t PendingExchanges() const noexcept;
 
 private:
--- a/include/gooseberrysail/net/fiber_runtime.hpp
+++ b/include/gooseberrysail/net/fiber_runtime.hpp
@@ -16,7 +16,7 @@
 
 namespace gooseberrysail {
 
-/// \brief A sticky wake-up for one waiting fiber: a notification before the wait is not lost.
+/// \brief An auto-reset event for one waiting fiber: a notification before the wait is kept.
 /// \code
 /// Signal work;
 /// runtime.Spawn([&] { while (work.WaitFor(EntryRole::kTickInterval), running) { Tick(); } });
@@ -26,7 +26,7 @@
 class Signal
 {
 public:
-  /// \brief Wakes the waiting fiber, or lets the next wait return at once.
+  /// \brief Wakes the waiting fiber, or makes the next wait return at once.
   /// \remarks May be called from hooks and Asio handlers of the same thread.
   void Notify();
 
@@ -42,15 +42,15 @@
   bool m_notified = false;
 };
 
-/// \brief The fibers and the I/O of one thread.
-/// \remarks The fibers take turns on the thread that made the runtime; with nothing to do the
-/// thread sleeps in the kernel. Several runtimes of one thread share the fibers' scheduler. A fiber
-/// that yields in a loop starves the I/O: wait on an operation, a timer or a Signal instead.
+/// \brief Runs the fibers and the I/O of one thread.
+/// \remarks Fibers are scheduled cooperatively on the thread that created the runtime; the thread
+/// sleeps in the kernel when none is ready. Runtimes of one thread share one fiber scheduler. A
+/// fiber that yields in a loop starves the I/O: wait on an operation, a timer or a Signal instead.
 class IoRuntime
 {
 public:
   IoRuntime();
-  /// \brief Waits for the spawned fibers to end; close what they serve first.
+  /// \brief Waits for the spawned fibers to end; close the objects that they serve first.
   ~IoRuntime();
   IoRuntime(const IoRuntime&) = delete;
   IoRuntime& operator=(const IoRuntime&) = delete;
@@ -60,17 +60,17 @@
   /// \brief Starts a fiber; it first runs when the caller next waits.
   void Spawn(std::function<void()> work);
 
-  /// \brief Suspends the calling fiber; the others go on.
+  /// \brief Suspends the calling fiber; other fibers keep running.
   void SleepFor(Duration duration);
 
-  /// \brief Calls `hook` in a fiber for each of these signals until the runtime stops.
-  /// \remarks Call it once: several hooks would each be called for every signal that any named.
+  /// \brief Calls `hook` in a fiber for each of these POSIX signals until the runtime stops.
+  /// \remarks Call it once: with several hooks, each would be called for the signals of all.
   void OnSignals(const std::vector<int>& numbers, std::function<void(int)> hook);
 
-  /// \brief Serves fibers and I/O until Stop is called; the main function's last step.
+  /// \brief Runs fibers and I/O until Stop is called.
   void Run();
 
-  /// \brief Lets Run return.
+  /// \brief Makes Run return.
   void Stop();
 
 private:
@@ -81,7 +81,7 @@
 
 namespace impl {
 
-/// \brief What an operation awaited by a fiber left behind.
+/// \brief The state and result of an asynchronous operation that a fiber awaits.
 struct Completion
 {
   boost::system::error_code error;
@@ -94,7 +94,7 @@
 /// \brief Suspends the fiber until `completion` is done.
 void Suspend(Completion& completion);
 
-/// \brief Marks `completion` done and makes its fiber ready.
+/// \brief Stores the result, marks `completion` done and makes its fiber ready.
 void Complete(Completion& completion, boost::system::error_code error, std::size_t size);
 
 } // namespace impl
--- a/include/gooseberrysail/net/peer_mesh.hpp
+++ b/include/gooseberrysail/net/peer_mesh.hpp
@@ -14,27 +14,27 @@
 
 namespace gooseberrysail {
 
-/// \brief Who this process is to its peers, and the limits of its connections.
+/// \brief The identity that this process presents to its peers, and connection limits.
 struct PeerMeshSettings
 {
   ProcessId process;
   std::string role;
   Incarnation incarnation;
-  std::string listenAddress;    ///< "ip:port"; port 0 takes a free one.
-  std::string announcedAddress; ///< Told to peers; "": where it listens.
+  std::string listenAddress;    ///< "ip:port"; port 0 picks a free port.
+  std::string announcedAddress; ///< Sent to peers; "": the listen address.
   std::string clusterKey;       ///< Shared by all processes of the installation.
   Duration heartbeatInterval = std::chrono::seconds(1);
-  /// \brief A connection whose heartbeats go unanswered for this long is replaced.
+  /// \brief A connection is replaced after its heartbeats were unanswered for this long.
   Duration silenceTimeout = std::chrono::milliseconds(3500);
-  Duration dialTimeout = std::chrono::seconds(2); ///< Connecting and handshake together.
+  Duration dialTimeout = std::chrono::seconds(2); ///< For connecting and the handshake together.
   Duration backoffMin = std::chrono::milliseconds(50);
   Duration backoffMax = std::chrono::seconds(2);
-  std::size_t maxQueuedBytes = 20 * 1024 * 1024;    ///< Unsent, for each peer.
-  std::size_t maxAllQueuedBytes = 64 * 1024 * 1024; ///< Unsent, all peers together.
-  std::size_t maxHandshakes = 256;                  ///< Callers not yet proved, all together.
+  std::size_t maxQueuedBytes = 20 * 1024 * 1024;    ///< Unsent bytes of each peer.
+  std::size_t maxAllQueuedBytes = 64 * 1024 * 1024; ///< Unsent bytes of all peers together.
+  std::size_t maxHandshakes = 256;                  ///< Incoming connections not yet authenticated.
 };
 
-/// \brief What the mesh tells its owner. Hooks must not wait; they may call Send.
+/// \brief Callbacks of the mesh. They must not block; they may call Send.
 struct PeerMeshHooks
 {
   std::function<void(PeerUp)> onUp;
@@ -43,17 +43,17 @@
   std::function<void(EventOut)> onEvent;
 };
 
-/// \brief Frames of one kind of message, with their bytes.
+/// \brief Number and total size of the frames of one message type.
 struct FrameCount
 {
   std::uint64_t frames = 0;
   std::uint64_t bytes = 0;
 };
 
-/// \brief By wire::Body.
+/// \brief Frame counts indexed by wire::Body.
 using FrameCounts = std::array<FrameCount, static_cast<std::size_t>(wire::Body::MAX) + 1>;
 
-/// \brief Counters since start, for metrics.
+/// \brief Counters since the start of the process, for metrics.
 struct PeerMeshCounters
 {
   FrameCounts sentByKind{};
@@ -65,15 +65,15 @@
   std::uint64_t writes = 0;
   std::uint64_t dials = 0;
   std::uint64_t dialsFailed = 0;
-  std::uint64_t refused = 0;   ///< Callers that failed the handshake.
-  std::uint64_t silent = 0;    ///< Connections given up for silence.
-  std::uint64_t malformed = 0; ///< Connections closed for what they sent.
+  std::uint64_t refused = 0;   ///< Incoming connections that failed the handshake.
+  std::uint64_t silent = 0;    ///< Connections whose heartbeats went unanswered.
+  std::uint64_t malformed = 0; ///< Connections closed because of invalid input.
 };
 
-/// \brief Authenticated, ordered frames between the system's processes over TCP.
-/// \remarks One connection carries a peer's traffic at a time; PeerUp and PeerDown alternate for
-/// each peer, but a failed dial gives a PeerDown of its own, since the frames that waited for it
-/// are lost.
+/// \brief Exchanges authenticated, ordered frames with other processes over TCP.
+/// \remarks Each peer has at most one active connection. PeerUp and PeerDown alternate for each
+/// peer, except that a failed dial produces an additional PeerDown, because the frames queued for
+/// that connection are lost.
 /// \code
 /// PeerMesh mesh(runtime, settings, hooks);
 /// BOOST_OUTCOME_TRY(mesh.Start());
@@ -83,35 +83,35 @@
 {
 public:
   PeerMesh(IoRuntime& runtime, PeerMeshSettings settings, PeerMeshHooks hooks);
-  /// \brief Closes; must run in a fiber of the runtime's thread.
+  /// \brief Calls Close; must run in a fiber of the runtime's thread.
   ~PeerMesh();
   PeerMesh(const PeerMesh&) = delete;
   PeerMesh& operator=(const PeerMesh&) = delete;
 
-  /// \brief Begins to listen.
+  /// \brief Starts listening.
   [[nodiscard]] Result<void> Start();
 
-  /// \brief Where it listens, with the port that port 0 became.
+  /// \brief The bound address, with the actual port where port 0 was configured.
   [[nodiscard]] std::string ListenAddress() const;
 
-  /// \brief Queues a frame; dials when no connection stands and the address is known.
+  /// \brief Queues a frame; dials the peer if it has no connection and its address is given.
   void Send(const FrameOut& frame);
 
-  /// \brief What waits to be sent to the peer.
+  /// \brief Number of unsent bytes queued for the peer.
   [[nodiscard]] std::size_t QueuedBytes(const ProcessId& peer) const;
 
-  /// \brief What waits to be sent to the peer for which most does.
+  /// \brief Number of unsent bytes of the connection with the largest queue.
   [[nodiscard]] std::size_t MostQueuedBytes() const;
 
-  /// \brief Closes every connection without a PeerDown and waits for the mesh's fibers to end.
+  /// \brief Closes all connections without PeerDown calls and waits for the mesh's fibers to end.
   void Close();
 
-  /// \brief Waits until everything queued is handed to the kernel, or `timeout` passed.
+  /// \brief Waits until all queued bytes are written to the sockets, or until `timeout` expires.
   void Flush(Duration timeout);
 
   [[nodiscard]] const PeerMeshCounters& Counters() const noexcept;
 
-  /// \brief Connections that stand now.
+  /// \brief Number of established connections.
   [[nodiscard]] std::size_t ConnectionCount() const noexcept;
 
 private:
--- a/include/gooseberrysail/process/usage.hpp
+++ b/include/gooseberrysail/process/usage.hpp
@@ -7,15 +7,15 @@
 
 namespace gooseberrysail {
 
-/// \brief What a process has used so far.
+/// \brief Resource usage of a process.
 struct ProcessUsage
 {
   double cpuSeconds = 0; ///< User and system time since its start.
   std::uint64_t residentBytes = 0;
 };
 
-/// \brief Reads /proc; for metrics and benches.
-/// \param pid 0: the calling process.
+/// \brief Reads the usage from /proc; for metrics and benchmarks.
+/// \param pid 0 selects the calling process.
 [[nodiscard]] Result<ProcessUsage> ReadProcessUsage(pid_t pid = 0);
 
 } // namespace gooseberrysail
--- a/include/gooseberrysail/shell/clock.hpp
+++ b/include/gooseberrysail/shell/clock.hpp
@@ -7,7 +7,7 @@
 /// \brief Reads CLOCK_BOOTTIME.
 [[nodiscard]] TimePoint BootNow() noexcept;
 
-/// \brief Reads the wall clock, for records people read.
+/// \brief Reads the wall clock, for time stamps that people read.
 [[nodiscard]] WallMillis WallNow() noexcept;
 
 } // namespace gooseberrysail
--- a/include/gooseberrysail/shell/daemon.hpp
+++ b/include/gooseberrysail/shell/daemon.hpp
@@ -11,29 +11,29 @@
 /// \brief Exit statuses of the daemon.
 enum class DaemonExit
 {
-  kStopped = 0,  ///< Left gracefully.
-  kFailed = 1,   ///< Could not start, or its disk failed; the last log lines say why.
-  kSettings = 2, ///< The settings file is wrong.
+  kStopped = 0,  ///< Stopped by request.
+  kFailed = 1,   ///< Could not start or storage failed; see the last log lines.
+  kSettings = 2, ///< The settings file is invalid.
 };
 
-/// \brief Runs an entry until it is told to stop.
+/// \brief Runs an entry process until it is signalled to stop.
 [[nodiscard]] DaemonExit RunEntry(const ProcessSettings& settings);
 
-/// \brief Runs an agent until it is told to stop.
+/// \brief Runs an agent process until it is signalled to stop.
 [[nodiscard]] DaemonExit RunAgent(const ProcessSettings& settings);
 
-/// \brief How callers, targets and the balancer speak to a gateway.
+/// \brief The external interfaces of a gateway: callers, targets and readiness probes.
 struct GatewayAdapter
 {
   GatewayApi api;
   std::function<HttpAnswerOut(const HttpRequestIn&, bool isReady)> answerReadiness;
 };
 
-/// \brief Runs an entry that serves routes of the serving document until it is told to stop.
+/// \brief Runs an entry that serves routes of the serving document until signalled to stop.
 [[nodiscard]] DaemonExit RunGateway(const ProcessSettings& settings, const GatewayAdapter& adapter);
 
-/// \brief Runs a control process until it is told to stop.
-/// \param outside Unset where only this project's own interface is served.
+/// \brief Runs a control process until it is signalled to stop.
+/// \param outside Additional external interface; unset to serve the built-in one only.
 [[nodiscard]] DaemonExit RunControl(const ProcessSettings& settings,
                                     const OutsideApi& outside = {});
 
--- a/include/gooseberrysail/shell/role_loop.hpp
+++ b/include/gooseberrysail/shell/role_loop.hpp
@@ -11,9 +11,10 @@
 
 namespace gooseberrysail {
 
-/// \brief Runs one role in a fiber: collects what arrives, ticks the role, hands out what it says.
-/// \remarks All inputs that arrived since the last tick go into one tick, so that a busy process
-/// ticks less often for each input than an idle one.
+/// \brief Runs the event loop of one role in a fiber: collects inputs, ticks the role and passes
+/// on its outputs.
+/// \remarks One tick processes all inputs that arrived since the previous one, so the number of
+/// ticks for each input falls as the load rises.
 template<class Input, class Output>
 class RoleLoop
 {
@@ -29,14 +30,14 @@
   {
   }
 
-  /// \brief Hands an input to the next tick.
+  /// \brief Queues an input for the next tick.
   void Post(Input input)
   {
     m_inbox.push_back(std::move(input));
     m_wake.Notify();
   }
 
-  /// \brief Ticks again soon although nothing arrived.
+  /// \brief Triggers a tick without an input.
   void Wake() { m_wake.Notify(); }
 
   /// \brief Ticks until Stop is called.
--- a/src/http/http_call.cpp
+++ b/src/http/http_call.cpp
@@ -40,7 +40,7 @@
   request.method_string(call.method);
   request.target(call.path);
   for (const HttpHeader& header : call.headers) {
-    if (!IsHopHeader(header.name)) {
+    if (!IsHopByHopHeader(header.name)) {
       request.insert(header.name, header.value);
     }
   }
@@ -48,8 +48,9 @@
     request.set(http::field::host, address);
   }
   request.body() = std::move(call.body);
-  const bool bare = request.method() == http::verb::get || request.method() == http::verb::head;
-  if (!bare || !request.body().empty()) {
+  const bool isGetOrHead =
+    request.method() == http::verb::get || request.method() == http::verb::head;
+  if (!isGetOrHead || !request.body().empty()) {
     request.content_length(request.body().size());
   }
   return request;
@@ -68,7 +69,7 @@
   part.status = head.result_int();
   for (const auto& field : head) {
     const std::string name(field.name_string());
-    if (!IsHopHeader(name)) {
+    if (!IsHopByHopHeader(name)) {
       part.headers.push_back(HttpHeader{ name, std::string(field.value()) });
     }
   }
@@ -176,7 +177,7 @@
   const auto [error, size] =
     Await([&](auto done) { http::async_write(m_socket, serializer, done); });
   if (error || m_timedOut || m_cancelled) {
-    // A write that failed before the kernel took its first byte sent nothing.
+    // If the write failed before the kernel accepted any byte, nothing was sent.
     return Fail(ErrorCode::kIo, "send call", error.message(), size == 0);
   }
   return true;
@@ -203,7 +204,7 @@
 {
   std::optional<Parser> parser;
   do {
-    // An answer of the 100s only announces the real one.
+    // An informational (1xx) response precedes the final one.
     parser.emplace();
     parser->header_limit(m_settings.maxHeaderBytes);
     parser->body_limit(boost::none);
@@ -224,8 +225,8 @@
   TargetAnswerIn part = MakeFirstPart(m_call.exchange, parser->get());
   std::array<char, kPartBytes> bytes;
   while (!parser->is_done()) {
-    // What the last read brought is delivered before waiting for more. With a length the rest of
-    // the buffer is body too and joins it; with chunks the buffer may hold a bare line end.
+    // Delivers the bytes already read before waiting for more. With a Content-Length, the rest of
+    // the buffer is body and is appended first; with chunked encoding, it may be only a line end.
     const bool waits = parser->chunked() || m_buffer.size() == 0 || part.bytes.size() >= kPartBytes;
     if (waits && (part.status || !part.bytes.empty())) {
       if (!Deliver(std::exchange(part, MakePart(m_call.exchange)))) {
--- a/src/http/http_call.hpp
+++ b/src/http/http_call.hpp
@@ -11,14 +11,14 @@
 
 namespace gooseberrysail::impl {
 
-/// \brief Where the parts and the failure of one call go.
+/// \brief Callbacks for the response parts or the failure of one call.
 struct HttpCallHooks
 {
   std::function<void(TargetAnswerIn)> onAnswer;
   std::function<void(TargetFailedIn)> onFailed;
 };
 
-/// \brief One call over one connection.
+/// \brief One HTTP request and its response, over one connection.
 class HttpCall : public std::enable_shared_from_this<HttpCall>
 {
 public:
@@ -28,14 +28,14 @@
            TargetCallOut call,
            HttpCallHooks hooks);
 
-  /// \brief Takes over an idle connection instead of opening one.
+  /// \brief Uses an idle connection instead of opening a new one.
   void Reuse(boost::asio::ip::tcp::socket socket);
 
-  /// \brief Makes the call; the body of a fiber.
-  /// \returns Whether the connection can carry another call.
+  /// \brief Makes the call; runs in a fiber of its own.
+  /// \returns Whether the connection can be reused for another call.
   bool Run();
 
-  /// \brief Closes the connection; no hook is called any more.
+  /// \brief Closes the connection; the hooks are not called any more.
   void Cancel();
 
   [[nodiscard]] const std::string& Address() const noexcept { return m_address; }
--- a/src/http/http_client.cpp
+++ b/src/http/http_client.cpp
@@ -15,8 +15,8 @@
 
 using boost::asio::ip::tcp;
 
-// An idle connection that turned readable was closed by the server, or holds bytes that belong to
-// no call; either way the next call on it would fail.
+// An idle connection that is readable was closed by the server or received bytes that belong to no
+// call; in both cases the next call on it would fail.
 bool IsUsable(tcp::socket& socket)
 {
   char byte = 0;
@@ -84,7 +84,7 @@
 
 void HttpClient::Impl::Run(std::uint64_t number, const CallPtr& call)
 {
-  // Taken only now: between the call's start and this fiber's turn the server may have closed it.
+  // Selected only here, because the server may close an idle connection before this fiber runs.
   TakeIdle(*call);
   const bool reusable = call->Run();
   calls.erase(number);
@@ -101,7 +101,7 @@
 {
   const auto found = idle.find(call.Address());
   while (found != idle.end() && !found->second.empty()) {
-    // The latest used first: the others may expire.
+    // Prefers the most recently used connection, so that the others can expire.
     Idle last = std::move(found->second.back());
     found->second.pop_back();
     if (BootNow() - last.since < settings.idleTimeout && IsUsable(last.socket)) {
@@ -193,33 +193,32 @@
                                     std::string body,
                                     Duration timeout)
 {
-  struct Fetched
+  struct FetchState
   {
     HttpReply reply;
     std::optional<Error> error;
     bool done = false;
     Signal changed;
   };
-  const auto fetched = std::make_shared<Fetched>();
+  const auto state = std::make_shared<FetchState>();
   const std::string peer(address);
   const std::uint64_t limit = m_impl->settings.maxFetchedBytes;
   impl::HttpCallHooks callHooks;
-  callHooks.onAnswer = [fetched, limit, peer](TargetAnswerIn part) {
+  callHooks.onAnswer = [state, limit, peer](TargetAnswerIn part) {
     if (part.status) {
-      fetched->reply.status = *part.status;
-      fetched->reply.headers = std::move(part.headers);
+      state->reply.status = *part.status;
+      state->reply.headers = std::move(part.headers);
     }
-    fetched->reply.body += part.bytes;
-    if (fetched->reply.body.size() > limit) {
-      fetched->error =
-        Error{ ErrorCode::kTooLarge, "read answer", peer, "the answer is too large" };
+    state->reply.body += part.bytes;
+    if (state->reply.body.size() > limit) {
+      state->error = Error{ ErrorCode::kTooLarge, "read answer", peer, "the answer is too large" };
     }
-    fetched->done = part.end;
-    fetched->changed.Notify();
+    state->done = part.end;
+    state->changed.Notify();
   };
-  callHooks.onFailed = [fetched](TargetFailedIn failed) {
-    fetched->error = std::move(failed.error);
-    fetched->changed.Notify();
+  callHooks.onFailed = [state](TargetFailedIn failed) {
+    state->error = std::move(failed.error);
+    state->changed.Notify();
   };
   TargetCallOut call;
   call.method = std::string(method);
@@ -229,19 +228,19 @@
   call.timeout = timeout;
   const std::uint64_t number = m_impl->Begin(address, std::move(call), std::move(callHooks));
   const TimePoint until = BootNow() + timeout;
-  while (!fetched->done && !fetched->error) {
+  while (!state->done && !state->error) {
     const TimePoint now = BootNow();
     if (now >= until || m_impl->closed) {
-      fetched->error = Error{ ErrorCode::kTimeout, "read answer", peer, "not whole in time" };
+      state->error = Error{ ErrorCode::kTimeout, "read answer", peer, "not whole in time" };
       break;
     }
-    fetched->changed.WaitFor(until - now);
+    state->changed.WaitFor(until - now);
   }
-  if (fetched->error) {
+  if (state->error) {
     m_impl->Cancel(number);
-    return std::move(*fetched->error);
+    return std::move(*state->error);
   }
-  return std::move(fetched->reply);
+  return std::move(state->reply);
 }
 
 void HttpClient::Close()
--- a/src/http/http_headers.cpp
+++ b/src/http/http_headers.cpp
@@ -11,32 +11,32 @@
 
 namespace {
 
-constexpr std::array<std::string_view, 10> kHopHeaders{
+constexpr std::array<std::string_view, 10> kHopByHopHeaders{
   "connection", "keep-alive",        "proxy-connection", "proxy-authenticate", "te", "trailer",
   "upgrade",    "transfer-encoding", "expect",           "content-length",
 };
 
-bool IsTokenLetter(char letter) noexcept
+bool IsTokenCharacter(char character) noexcept
 {
-  return letter > ' ' && letter < 0x7f;
+  return character > ' ' && character < 0x7f;
 }
 
-bool IsNameLetter(char letter) noexcept
+bool IsNameCharacter(char character) noexcept
 {
-  return IsTokenLetter(letter) && letter != ':';
+  return IsTokenCharacter(character) && character != ':';
 }
 
-// A line break in a value would begin a new header, or a whole new message, of the sender's choice.
-bool IsValueLetter(char letter) noexcept
+// A line break in a value would allow injecting another header or a whole message.
+bool IsValueCharacter(char character) noexcept
 {
-  return letter != '\r' && letter != '\n' && letter != '\0';
+  return character != '\r' && character != '\n' && character != '\0';
 }
 
 } // namespace
 
-bool IsHopHeader(std::string_view name) noexcept
+bool IsHopByHopHeader(std::string_view name) noexcept
 {
-  return std::any_of(kHopHeaders.begin(), kHopHeaders.end(), [&](std::string_view hop) {
+  return std::any_of(kHopByHopHeaders.begin(), kHopByHopHeaders.end(), [&](std::string_view hop) {
     return SameHeaderName(name, hop);
   });
 }
@@ -44,13 +44,13 @@
 bool IsSafeHeader(const HttpHeader& header) noexcept
 {
   return !header.name.empty() &&
-         std::all_of(header.name.begin(), header.name.end(), IsNameLetter) &&
-         std::all_of(header.value.begin(), header.value.end(), IsValueLetter);
+         std::all_of(header.name.begin(), header.name.end(), IsNameCharacter) &&
+         std::all_of(header.value.begin(), header.value.end(), IsValueCharacter);
 }
 
 bool IsSafeToken(std::string_view text) noexcept
 {
-  return !text.empty() && std::all_of(text.begin(), text.end(), IsTokenLetter);
+  return !text.empty() && std::all_of(text.begin(), text.end(), IsTokenCharacter);
 }
 
 } // namespace impl
--- a/src/http/http_headers.hpp
+++ b/src/http/http_headers.hpp
@@ -6,13 +6,13 @@
 
 namespace gooseberrysail::impl {
 
-/// \brief Whether the header concerns one connection only; each side of us sets its own.
-[[nodiscard]] bool IsHopHeader(std::string_view name) noexcept;
+/// \brief Whether the header applies to a single connection and must not be forwarded.
+[[nodiscard]] bool IsHopByHopHeader(std::string_view name) noexcept;
 
-/// \brief Whether name and value can stand in a message without forging other lines of it.
+/// \brief Whether name and value are free of characters that allow header injection.
 [[nodiscard]] bool IsSafeHeader(const HttpHeader& header) noexcept;
 
-/// \brief Whether the text can stand as method or path of a request line.
+/// \brief Whether the text is valid as the method or path in a request line.
 [[nodiscard]] bool IsSafeToken(std::string_view text) noexcept;
 
 } // namespace gooseberrysail::impl
--- a/src/http/http_server.cpp
+++ b/src/http/http_server.cpp
@@ -17,7 +17,7 @@
 
 constexpr Duration kAcceptRetry = std::chrono::milliseconds(100);
 
-// The messages come from the HTTP library and from this file: no letter in them needs escaping.
+// The messages come from the HTTP library and from the sessions; they need no JSON escaping.
 std::string DefaultErrorBody(unsigned status, std::string_view message)
 {
   return "{\"error\":{\"outcome\":\"not-run\",\"reason\":\"http-" + std::to_string(status) +
@@ -39,7 +39,7 @@
   void StopAccepting();
   bool WaitDrained(Duration timeout);
   void Close();
-  void LoseCaller(ExchangeId exchange);
+  void OnCallerDisconnected(ExchangeId exchange);
   void Emit(EventNumber number, std::vector<std::pair<std::string, std::string>> fields) const;
   [[nodiscard]] impl::HttpSessionHooks MakeSessionHooks();
 
@@ -116,7 +116,7 @@
       continue;
     }
     if (!stopping) {
-      // Out of descriptors, accept fails at once each time: without a wait it would spin.
+      // Without free file descriptors, accept fails immediately; the delay prevents a busy loop.
       Emit(EventNumber::kAcceptFailed,
            { { "address", listenAddress }, { "reason", error.message() } });
       runtime.SleepFor(kAcceptRetry);
@@ -159,8 +159,8 @@
   };
   made.onRequest = [this](HttpRequestIn request) { hooks.onRequest(std::move(request)); };
   made.onEnd = [this](ExchangeId exchange) { exchanges.erase(exchange); };
-  made.onCallerGone = [this](ExchangeId exchange) { LoseCaller(exchange); };
-  made.onCut =
+  made.onCallerGone = [this](ExchangeId exchange) { OnCallerDisconnected(exchange); };
+  made.onAborted =
     [this](const impl::HttpSession& session, ExchangeId exchange, std::string_view reason) {
       ++counters.aborted;
       Emit(EventNumber::kHttpAnswerCut,
@@ -181,7 +181,7 @@
   return made;
 }
 
-void HttpServer::Impl::LoseCaller(ExchangeId exchange)
+void HttpServer::Impl::OnCallerDisconnected(ExchangeId exchange)
 {
   if (exchanges.erase(exchange) == 0) {
     return;
@@ -198,8 +198,8 @@
     return;
   }
   stopping = true;
-  // Callers whose connection the kernel has completed believe they are served: closing the
-  // listener would reset them.
+  // Accepts the connections that the kernel has already completed; closing the listener would reset
+  // them.
   boost::system::error_code error;
   acceptor.non_blocking(true, error);
   while (!error && acceptor.is_open()) {
@@ -210,11 +210,11 @@
     }
   }
   acceptor.close(error);
-  std::vector<SessionPtr> present;
+  std::vector<SessionPtr> openSessions;
   for (const auto& [number, session] : sessions) {
-    present.push_back(session);
+    openSessions.push_back(session);
   }
-  for (const SessionPtr& session : present) {
+  for (const SessionPtr& session : openSessions) {
     session->CloseIfIdle();
   }
 }
--- a/src/http/http_session.hpp
+++ b/src/http/http_session.hpp
@@ -16,20 +16,21 @@
 
 class HttpSession;
 
-/// \brief What sessions need of their server.
+/// \brief Callbacks of a session to its server.
 struct HttpSessionHooks
 {
-  std::function<ExchangeId(HttpSession&)> onBegin; ///< Numbers a new exchange.
+  std::function<ExchangeId(HttpSession&)> onBegin; ///< Assigns the id of a new exchange.
   std::function<void(HttpRequestIn)> onRequest;
   std::function<void(ExchangeId)> onEnd;
   std::function<void(ExchangeId)> onCallerGone;
-  std::function<void(const HttpSession&, ExchangeId, std::string_view reason)> onCut;
+  std::function<void(const HttpSession&, ExchangeId, std::string_view reason)> onAborted;
   std::function<void(const HttpSession&, unsigned status, std::string_view message)> onRejected;
   std::function<std::string(unsigned status, std::string_view message)> errorBody;
   std::function<bool()> isStopping;
 };
 
-/// \brief One connection of a caller: reads a request, hands it over, writes its answer, again.
+/// \brief One connection of a caller: repeatedly reads a request, passes it on and writes its
+/// response.
 class HttpSession : public std::enable_shared_from_this<HttpSession>
 {
 public:
@@ -38,23 +39,23 @@
               const HttpServerSettings& settings,
               const HttpSessionHooks& hooks);
 
-  /// \brief Serves until the connection ends; the body of a fiber.
+  /// \brief Serves the connection until it ends; runs in a fiber of its own.
   void Serve();
 
-  /// \brief Takes a part of the answer to the present exchange.
+  /// \brief Queues a part of the response of the current exchange.
   void Answer(HttpAnswerOut part);
 
-  /// \brief Closes at once; an unfinished answer is seen as cut.
+  /// \brief Closes at once; the caller can detect that an unfinished response is incomplete.
   void Close();
 
-  /// \brief Closes when no request has begun to arrive.
+  /// \brief Closes the connection if no part of a request has arrived.
   void CloseIfIdle();
 
   [[nodiscard]] std::size_t QueuedBytes() const noexcept { return m_queuedBytes; }
   [[nodiscard]] const std::string& Peer() const noexcept { return m_peer; }
 
 private:
-  /// \brief What the answer depends on.
+  /// \brief A request and the properties of it that determine the framing of its response.
   struct Request
   {
     unsigned version = 11; ///< 11 for HTTP/1.1, 10 for HTTP/1.0.
@@ -63,34 +64,34 @@
     HttpRequestIn message;
   };
 
-  /// \brief How the writing of an answer ended.
-  enum class Written
+  /// \brief The result of writing a response.
+  enum class WriteResult
   {
-    kMayReuse,  ///< Whole, and the connection can carry another exchange.
-    kMustClose, ///< Whole, and the connection was announced to close.
-    kBroken,    ///< Not whole; the connection is closed.
+    kReusable,   ///< Complete; the connection can be reused.
+    kClosing,    ///< Complete; sent with "Connection: close".
+    kIncomplete, ///< Incomplete; the connection is closed.
   };
 
   // Reading (http_session_read.cpp).
   [[nodiscard]] std::optional<Request> ReadRequest();
   bool WaitForRequest();
-  [[nodiscard]] bool HasPending();
+  [[nodiscard]] bool HasPendingInput();
   void Reject(unsigned status, std::string_view message);
   void WatchCaller();
   void OnReadable(bool failed);
-  void LoseCaller();
+  void OnCallerDisconnected();
   void Linger();
 
   // Writing (http_session_write.cpp).
-  Written WriteAnswer(const Request& request);
+  WriteResult WriteAnswer(const Request& request);
   bool WaitForPart();
   bool WaitForEnd();
-  [[nodiscard]] HttpAnswerOut TakeParts();
-  Written WriteWhole(const Request& request, const HttpAnswerOut& part);
-  Written WriteStream(const Request& request, HttpAnswerOut part);
+  [[nodiscard]] HttpAnswerOut JoinParts();
+  WriteResult WriteWhole(const Request& request, const HttpAnswerOut& part);
+  WriteResult WriteStream(const Request& request, HttpAnswerOut part);
   bool WriteChunks(HttpAnswerOut part, bool hasBody);
   bool WriteRejection(unsigned status, const std::string& body);
-  void Cut(std::string_view reason);
+  void Abort(std::string_view reason);
   template<class Start>
   bool Write(Start&& start);
 
@@ -105,7 +106,7 @@
   std::size_t m_queuedBytes = 0;
   Signal m_changed;
   bool m_idle = false;     ///< Waiting for the first byte of a request.
-  bool m_watching = false; ///< A wait for the caller's socket is under way.
+  bool m_watching = false; ///< A wait for readability is pending.
   bool m_timedOut = false;
   bool m_closed = false;
 };
--- a/src/http/http_session_read.cpp
+++ b/src/http/http_session_read.cpp
@@ -23,11 +23,11 @@
 using Parser = http::request_parser<http::string_body>;
 
 constexpr std::size_t kReadAheadBytes = 64 * 1024;
-constexpr std::size_t kKeptBufferBytes = 16 * 1024;
+constexpr std::size_t kMaxRetainedBufferBytes = 16 * 1024;
 constexpr std::size_t kFirstReadBytes = 4 * 1024;
 constexpr Duration kLingerTimeout = std::chrono::seconds(1);
 constexpr std::size_t kLingerBytes = 16 * 1024 * 1024;
-// A connection that was accepted while the server stops may bring one request, without delay.
+// Shorter limit for connections that are accepted while the server is stopping.
 constexpr Duration kStoppingIdleTimeout = std::chrono::seconds(1);
 
 constexpr const char* kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
@@ -72,7 +72,7 @@
   , m_hooks(hooks)
   , m_deadline(m_socket.get_executor())
 {
-  // A read on readiness that turned out false must return, not stop the whole thread.
+  // A read after a spurious readiness notification must return instead of blocking the thread.
   boost::system::error_code ignored;
   m_socket.non_blocking(true, ignored);
 }
@@ -84,17 +84,18 @@
     request->message.exchange = m_exchange;
     m_hooks.onRequest(std::move(request->message));
     WatchCaller();
-    const Written written = WriteAnswer(*request);
+    const WriteResult written = WriteAnswer(*request);
     const ExchangeId ended = std::exchange(m_exchange, ExchangeId());
     m_parts.clear();
     m_queuedBytes = 0;
     m_hooks.onEnd(ended);
-    if (written == Written::kMustClose) {
+    if (written == WriteResult::kClosing) {
       Linger();
     }
-    // A stream whose head left before the server began to stop promised to go on; a request that
-    // came long after would be cut when the process ends.
-    const bool isLast = written != Written::kMayReuse || (m_hooks.isStopping() && !HasPending());
+    // Responses whose header was sent before the server began to stop announced keep-alive. The
+    // connection is closed nevertheless, because a later request would be aborted at process exit.
+    const bool isLast =
+      written != WriteResult::kReusable || (m_hooks.isStopping() && !HasPendingInput());
     if (isLast) {
       break;
     }
@@ -113,13 +114,13 @@
 
 void HttpSession::CloseIfIdle()
 {
-  if (m_idle && !HasPending()) {
+  if (m_idle && !HasPendingInput()) {
     Close();
   }
 }
 
-// A request whose first bytes the kernel already holds is in flight: it gets its answer.
-bool HttpSession::HasPending()
+// A request counts as in flight, and is answered, once its first bytes are in the kernel buffer.
+bool HttpSession::HasPendingInput()
 {
   boost::system::error_code error;
   return m_buffer.size() > 0 || m_socket.available(error) > 0;
@@ -133,8 +134,9 @@
   m_idle = true;
   const Duration timeout = m_hooks.isStopping() ? kStoppingIdleTimeout : m_settings.idleTimeout;
   m_deadline.Arm(timeout, [this] { Close(); });
-  // Only waits, and reads afterwards: bytes already read but not yet seen by this fiber would look
-  // like an idle connection to CloseIfIdle. An idle connection so needs no buffer either.
+  // Waits for readability before it reads: otherwise CloseIfIdle could close a connection as idle
+  // whose bytes were read but not yet processed by this fiber. It also saves the buffer of idle
+  // connections.
   boost::system::error_code error = asio::error::would_block;
   while (error == asio::error::would_block) {
     const auto [failed, none] =
@@ -151,13 +153,13 @@
 
 std::optional<HttpSession::Request> HttpSession::ReadRequest()
 {
-  if (m_buffer.size() == 0 && m_buffer.capacity() > kKeptBufferBytes) {
+  if (m_buffer.size() == 0 && m_buffer.capacity() > kMaxRetainedBufferBytes) {
     m_buffer.shrink_to_fit();
   }
   if (!WaitForRequest()) {
     return std::nullopt;
   }
-  // A caller that sends a byte now and then would hold the connection for ever.
+  // Without a deadline, a caller could keep the connection open by sending single bytes.
   m_timedOut = false;
   m_deadline.Arm(m_settings.requestTimeout, [this] {
     m_timedOut = true;
@@ -213,8 +215,8 @@
   }
 }
 
-// Closing while bytes of the caller lie unread makes the kernel send a reset, and the caller may
-// then lose the answer that says why. So its bytes are read and dropped for a moment first.
+// If a socket is closed with unread input, the kernel sends a reset and the caller may lose the
+// response. Input is therefore read and discarded for a limited time first.
 void HttpSession::Linger()
 {
   boost::system::error_code failure;
@@ -231,8 +233,8 @@
   m_deadline.Disarm();
 }
 
-// While an answer is pending nobody reads the socket, so that a caller who leaves would go
-// unnoticed and its work would run on for nobody.
+// The socket is not read while a response is pending, so a disconnect must be detected separately;
+// otherwise the work for that caller would continue.
 void HttpSession::WatchCaller()
 {
   if (m_watching || m_closed || m_exchange.IsNone()) {
@@ -259,10 +261,11 @@
     return;
   }
   if (seen <= 0) {
-    LoseCaller();
+    OnCallerDisconnected();
     return;
   }
-  // The caller sent its next request already. It is kept, or the end behind it would not be seen.
+  // The caller pipelined its next request. It is buffered so that a disconnect after it is
+  // detected.
   if (m_buffer.size() >= kReadAheadBytes) {
     return;
   }
@@ -270,13 +273,13 @@
   const std::size_t size = m_socket.read_some(m_buffer.prepare(kFirstReadBytes), error);
   m_buffer.commit(size);
   if (error && error != asio::error::would_block) {
-    LoseCaller();
+    OnCallerDisconnected();
     return;
   }
   WatchCaller();
 }
 
-void HttpSession::LoseCaller()
+void HttpSession::OnCallerDisconnected()
 {
   const ExchangeId exchange = m_exchange;
   Close();
--- a/src/http/http_session_write.cpp
+++ b/src/http/http_session_write.cpp
@@ -31,7 +31,7 @@
 {
   message.result(part.status.value_or(kDefaultStatus));
   for (const HttpHeader& header : part.headers) {
-    if (!IsHopHeader(header.name) && IsSafeHeader(header)) {
+    if (!IsHopByHopHeader(header.name) && IsSafeHeader(header)) {
       message.insert(header.name, header.value);
     }
   }
@@ -42,11 +42,11 @@
 template<class Start>
 bool HttpSession::Write(Start&& start)
 {
-  m_deadline.Arm(m_settings.writeTimeout, [this] { LoseCaller(); });
+  m_deadline.Arm(m_settings.writeTimeout, [this] { OnCallerDisconnected(); });
   const auto [error, size] = Await(std::forward<Start>(start));
   m_deadline.Disarm();
   if (error && !m_closed) {
-    LoseCaller();
+    OnCallerDisconnected();
   }
   return !error && !m_closed;
 }
@@ -57,9 +57,9 @@
     return;
   }
   if (m_queuedBytes > 0 && m_queuedBytes + part.bytes.size() > m_settings.maxQueuedAnswerBytes) {
-    // The caller takes its answer more slowly than the target makes it.
+    // The caller reads the response more slowly than the target produces it.
     const ExchangeId exchange = m_exchange;
-    Cut("the caller reads too slowly");
+    Abort("the caller reads the response too slowly");
     m_hooks.onCallerGone(exchange);
     return;
   }
@@ -84,9 +84,9 @@
   return !m_closed;
 }
 
-// Joins what is queued into one part, so that many small parts share one write. What follows an
-// abort is dropped.
-HttpAnswerOut HttpSession::TakeParts()
+// Joins all queued parts up to an end or abort, so that small parts are written together. Parts
+// after an abort are not sent.
+HttpAnswerOut HttpSession::JoinParts()
 {
   HttpAnswerOut joined = std::move(m_parts.front());
   m_parts.pop_front();
@@ -99,22 +99,23 @@
   return joined;
 }
 
-HttpSession::Written HttpSession::WriteAnswer(const Request& request)
+HttpSession::WriteResult HttpSession::WriteAnswer(const Request& request)
 {
-  // HTTP/1.0 has no chunks: a cut answer would look whole. It is gathered and sent with its length.
+  // HTTP/1.0 has no chunked encoding, so an aborted response would look complete. The response is
+  // buffered and sent with its length.
   const bool gather = request.version < 11;
   if (!WaitForPart() || (gather && !WaitForEnd())) {
-    return Written::kBroken;
+    return WriteResult::kIncomplete;
   }
-  HttpAnswerOut first = TakeParts();
+  HttpAnswerOut first = JoinParts();
   if (first.abort && (gather || first.bytes.empty())) {
-    Cut("aborted before any byte of the answer left");
-    return Written::kBroken;
+    Abort("aborted before any byte of the response was sent");
+    return WriteResult::kIncomplete;
   }
   return first.end ? WriteWhole(request, first) : WriteStream(request, std::move(first));
 }
 
-HttpSession::Written HttpSession::WriteWhole(const Request& request, const HttpAnswerOut& part)
+HttpSession::WriteResult HttpSession::WriteWhole(const Request& request, const HttpAnswerOut& part)
 {
   http::response<http::string_body> answer;
   answer.version(request.version);
@@ -127,12 +128,12 @@
   }
   http::response_serializer<http::string_body> serializer(answer);
   if (!Write([&](auto done) { http::async_write(m_socket, serializer, done); })) {
-    return Written::kBroken;
+    return WriteResult::kIncomplete;
   }
-  return reuse ? Written::kMayReuse : Written::kMustClose;
+  return reuse ? WriteResult::kReusable : WriteResult::kClosing;
 }
 
-HttpSession::Written HttpSession::WriteStream(const Request& request, HttpAnswerOut part)
+HttpSession::WriteResult HttpSession::WriteStream(const Request& request, HttpAnswerOut part)
 {
   http::response<http::empty_body> head;
   head.version(request.version);
@@ -143,12 +144,12 @@
   head.chunked(chunked);
   http::response_serializer<http::empty_body> serializer(head);
   if (!Write([&](auto done) { http::async_write_header(m_socket, serializer, done); })) {
-    return Written::kBroken;
+    return WriteResult::kIncomplete;
   }
   if (!WriteChunks(std::move(part), chunked && !request.head)) {
-    return Written::kBroken;
+    return WriteResult::kIncomplete;
   }
-  return reuse ? Written::kMayReuse : Written::kMustClose;
+  return reuse ? WriteResult::kReusable : WriteResult::kClosing;
 }
 
 bool HttpSession::WriteChunks(HttpAnswerOut part, bool hasBody)
@@ -163,7 +164,7 @@
     }
     m_queuedBytes -= std::min(m_queuedBytes, size);
     if (part.abort) {
-      Cut("aborted by its owner");
+      Abort("aborted by the process during the response");
       return false;
     }
     if (part.end) {
@@ -172,7 +173,7 @@
     if (!WaitForPart()) {
       return false;
     }
-    part = TakeParts();
+    part = JoinParts();
   }
   const auto last = http::make_chunk_last();
   return !hasBody || Write([&](auto done) { asio::async_write(m_socket, last, done); });
@@ -191,13 +192,13 @@
   return Write([&](auto done) { http::async_write(m_socket, serializer, done); });
 }
 
-// The connection is closed without the last chunk, or without any answer: no caller can take what
-// it got for a whole answer.
-void HttpSession::Cut(std::string_view reason)
+// Closes the connection without the last chunk or without any response, so that no caller can take
+// the response for a complete one.
+void HttpSession::Abort(std::string_view reason)
 {
   const ExchangeId exchange = m_exchange;
   Close();
-  m_hooks.onCut(*this, exchange, reason);
+  m_hooks.onAborted(*this, exchange, reason);
 }
 
 } // namespace gooseberrysail::impl
--- a/src/net/deadline.cpp
+++ b/src/net/deadline.cpp
@@ -17,8 +17,8 @@
 
 void Deadline::Arm(Duration timeout, std::function<void()> onPassed)
 {
-  // Cancelling a timer does not call back a handler that already waits to run; the number tells
-  // such a late handler that it is out of date.
+  // Cancelling a timer does not remove a handler that is already queued to run. Such a handler
+  // finds that the number has changed and returns.
   const std::uint64_t number = ++m_state->number;
   m_state->armed = true;
   m_state->timer.expires_after(
--- a/src/net/deadline.hpp
+++ b/src/net/deadline.hpp
@@ -10,9 +10,9 @@
 
 namespace gooseberrysail::impl {
 
-/// \brief Calls a hook when something did not happen in time.
-/// \remarks The hook runs in an Asio handler and must not wait. It is never called once the
-/// deadline was disarmed, armed anew or destroyed, even when it had already passed.
+/// \brief A timer that calls a hook unless it is disarmed before the timeout.
+/// \remarks The hook runs in an Asio handler and must not block. After the deadline was disarmed,
+/// armed again or destroyed, the hook is not called, even if the timer had already expired.
 class Deadline
 {
 public:
--- a/src/net/fiber_runtime.cpp
+++ b/src/net/fiber_runtime.cpp
@@ -14,12 +14,12 @@
 
 namespace {
 
-// Address space, not memory: pages are taken when touched. The guard page behind each stack turns
-// an overflow into a crash at the spot instead of damage to another fiber's data.
+// Reserves address space only; pages are allocated on first use. The guard page of each stack turns
+// an overflow into an immediate crash instead of corrupting another fiber's data.
 constexpr std::size_t kStackBytes = 256 * 1024;
 
-// A thread has one fiber scheduler for its whole life: replacing it would lose the fibers that
-// wait in the old one. So the first runtime of a thread installs it and later ones share it.
+// The first runtime of a thread installs the fiber scheduler and later runtimes share it: replacing
+// the scheduler would lose the fibers that wait in it.
 std::shared_ptr<boost::asio::io_context> ThreadIo()
 {
   thread_local const auto kIo = [] {
--- a/src/net/fiber_scheduler.cpp
+++ b/src/net/fiber_scheduler.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-// The dispatcher is the fiber that calls suspend_until. Counting it as ready work would keep the
-// scheduler from ever sleeping: an idle process would burn a whole core.
-bool IsWorker(const boost::fibers::context& fiber) noexcept
+// The dispatcher is the fiber that calls suspend_until. Counting it as ready would prevent the
+// scheduler from sleeping, and an idle process would use a whole core.
+bool IsRunnable(const boost::fibers::context& fiber) noexcept
 {
   return !fiber.is_context(boost::fibers::type::dispatcher_context);
 }
@@ -25,8 +25,8 @@
 void FiberScheduler::awakened(boost::fibers::context* fiber) noexcept
 {
   fiber->ready_link(m_ready);
-  if (IsWorker(*fiber)) {
-    ++m_readyWorkers;
+  if (IsRunnable(*fiber)) {
+    ++m_readyCount;
   }
 }
 
@@ -37,15 +37,15 @@
   }
   boost::fibers::context* fiber = &m_ready.front();
   m_ready.pop_front();
-  if (IsWorker(*fiber)) {
-    --m_readyWorkers;
+  if (IsRunnable(*fiber)) {
+    --m_readyCount;
   }
   return fiber;
 }
 
 bool FiberScheduler::has_ready_fibers() const noexcept
 {
-  return m_readyWorkers > 0;
+  return m_readyCount > 0;
 }
 
 void FiberScheduler::suspend_until(const std::chrono::steady_clock::time_point& until) noexcept
--- a/src/net/fiber_scheduler.hpp
+++ b/src/net/fiber_scheduler.hpp
@@ -11,8 +11,8 @@
 
 namespace gooseberrysail::impl {
 
-/// \brief Runs ready fibers in turn; with none, sleeps in the io_context until a handler runs or
-/// the next fiber timer is due.
+/// \brief A round-robin fiber scheduler. When no fiber is ready, it blocks in the io_context until
+/// a handler runs or the next fiber timer expires.
 class FiberScheduler : public boost::fibers::algo::algorithm
 {
 public:
@@ -28,7 +28,7 @@
   std::shared_ptr<boost::asio::io_context> m_io;
   boost::asio::executor_work_guard<boost::asio::io_context::executor_type> m_work;
   boost::fibers::scheduler::ready_queue_type m_ready;
-  std::size_t m_readyWorkers = 0;
+  std::size_t m_readyCount = 0;
 };
 
 } // namespace gooseberrysail::impl
--- a/src/net/frame_codec.cpp
+++ b/src/net/frame_codec.cpp
@@ -7,11 +7,11 @@
 namespace {
 
 constexpr std::size_t kAlignment = 8;
-constexpr std::size_t kMinRoom = 2 * 1024;
-constexpr std::size_t kStartBytes = 4 * 1024;
-constexpr std::size_t kKeptBytes = 64 * 1024;
-// A frame at the front of the buffer lies aligned behind its prefix.
-constexpr std::size_t kFront = kAlignment - kFramePrefixBytes;
+constexpr std::size_t kMinFreeBytes = 2 * 1024;
+constexpr std::size_t kInitialBytes = 4 * 1024;
+constexpr std::size_t kMaxRetainedBytes = 64 * 1024;
+// With this offset, the payload of a frame at the front of the buffer is aligned.
+constexpr std::size_t kFrontOffset = kAlignment - kFramePrefixBytes;
 
 } // namespace
 
@@ -29,26 +29,26 @@
 
 FrameReader::FrameReader(std::size_t maxFrameBytes)
   : m_maxFrameBytes(maxFrameBytes)
-  , m_buffer(kStartBytes)
-  , m_begin(kFront)
-  , m_end(kFront)
+  , m_buffer(kInitialBytes)
+  , m_begin(kFrontOffset)
+  , m_end(kFrontOffset)
 {
 }
 
 std::span<std::uint8_t> FrameReader::Prepare()
 {
-  if (Unread() == 0 && m_buffer.size() > kKeptBytes) {
-    // One large frame must not hold its memory for the rest of the connection's life.
-    m_buffer = std::vector<std::uint8_t>(kStartBytes);
-    m_begin = kFront;
-    m_end = kFront;
+  if (Unread() == 0 && m_buffer.size() > kMaxRetainedBytes) {
+    // Frees the memory of a large frame, which the connection would otherwise keep until it ends.
+    m_buffer = std::vector<std::uint8_t>(kInitialBytes);
+    m_begin = kFrontOffset;
+    m_end = kFrontOffset;
   }
-  if (m_buffer.size() - m_end < kMinRoom) {
+  if (m_buffer.size() - m_end < kMinFreeBytes) {
     MoveToFront();
   }
-  if (m_buffer.size() - m_end < kMinRoom) {
-    // Grows with what has arrived, not with what a length prefix claims: a peer that announces
-    // large frames and sends nothing would otherwise take our memory.
+  if (m_buffer.size() - m_end < kMinFreeBytes) {
+    // Grows with the received bytes, not to the size in the length prefix: otherwise a peer could
+    // exhaust the memory by announcing large frames without sending them.
     m_buffer.resize(m_buffer.size() * 2);
   }
   return std::span(m_buffer).subspan(m_end);
@@ -61,13 +61,13 @@
 
 void FrameReader::MoveToFront()
 {
-  if (m_begin <= kFront) {
+  if (m_begin <= kFrontOffset) {
     return;
   }
   const std::size_t unread = Unread();
-  std::memmove(m_buffer.data() + kFront, m_buffer.data() + m_begin, unread);
-  m_begin = kFront;
-  m_end = kFront + unread;
+  std::memmove(m_buffer.data() + kFrontOffset, m_buffer.data() + m_begin, unread);
+  m_begin = kFrontOffset;
+  m_end = kFrontOffset + unread;
 }
 
 std::size_t FrameReader::FrameLength() const noexcept
@@ -82,21 +82,21 @@
 Result<std::optional<std::span<const std::uint8_t>>> FrameReader::Next(const std::string& peer)
 {
   if (Unread() == 0) {
-    m_begin = kFront;
-    m_end = kFront;
+    m_begin = kFrontOffset;
+    m_end = kFrontOffset;
   }
   if (Unread() < kFramePrefixBytes) {
     return std::nullopt;
   }
   const std::size_t length = FrameLength();
   if (length == 0) {
-    return Error{ ErrorCode::kCorrupt, "read frame", peer, "a frame of no bytes" };
+    return Error{ ErrorCode::kCorrupt, "read frame", peer, "the frame is empty" };
   }
   if (length > m_maxFrameBytes) {
     return Error{ ErrorCode::kTooLarge,
                   "read frame",
                   peer,
-                  "a frame of " + std::to_string(length) + " bytes, over the limit of " +
+                  "a frame of " + std::to_string(length) + " bytes exceeds the limit of " +
                     std::to_string(m_maxFrameBytes) };
   }
   if (Unread() < kFramePrefixBytes + length) {
@@ -104,8 +104,8 @@
   }
   const std::size_t found = m_begin + kFramePrefixBytes;
   m_begin = found + length;
-  // FlatBuffers reads numbers in place. A frame behind others may lie anywhere, and reading a
-  // misaligned number is undefined; the bytes before it are spent, so it can move back a little.
+  // FlatBuffers reads numbers in place, and reading a misaligned number is undefined behaviour. A
+  // frame that follows others may be misaligned; it is moved back over bytes already consumed.
   const std::size_t aligned = found / kAlignment * kAlignment;
   if (aligned != found) {
     std::memmove(m_buffer.data() + aligned, m_buffer.data() + found, length);
--- a/src/net/frame_codec.hpp
+++ b/src/net/frame_codec.hpp
@@ -12,13 +12,13 @@
 
 namespace gooseberrysail::impl {
 
-/// \brief Bytes of the little-endian length before each frame.
+/// \brief Size of the little-endian length prefix of each frame.
 inline constexpr std::size_t kFramePrefixBytes = 4;
 
 /// \brief Encodes an envelope with its length prefix.
 [[nodiscard]] std::vector<std::uint8_t> EncodeFrame(const wire::EnvelopeT& envelope);
 
-/// \brief Cuts a stream of bytes into frames.
+/// \brief Splits a byte stream into frames.
 /// \code
 /// auto space = reader.Prepare();
 /// reader.Commit(ReadInto(space));
@@ -29,17 +29,17 @@
 public:
   explicit FrameReader(std::size_t maxFrameBytes);
 
-  /// \brief From now on accepts frames up to this size.
+  /// \brief Sets the maximum size of the following frames.
   void SetLimit(std::size_t maxFrameBytes) noexcept { m_maxFrameBytes = maxFrameBytes; }
 
-  /// \brief Room for the next bytes of the stream.
+  /// \brief Returns free buffer space for the next bytes of the stream.
   [[nodiscard]] std::span<std::uint8_t> Prepare();
 
-  /// \brief Takes in the first `size` bytes of the prepared room.
+  /// \brief Appends the first `size` bytes of the prepared space to the stream.
   void Commit(std::size_t size) noexcept;
 
-  /// \returns The next whole frame, aligned for FlatBuffers and valid until the next call; empty
-  /// when more bytes are needed; an error when the stream is not made of acceptable frames.
+  /// \returns The next complete frame, aligned for FlatBuffers and valid until the next call; empty
+  /// if more bytes are needed; an error if the frame is empty or exceeds the limit.
   [[nodiscard]] Result<std::optional<std::span<const std::uint8_t>>> Next(const std::string& peer);
 
 private:
--- a/src/net/handshake.cpp
+++ b/src/net/handshake.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr std::string_view kPurpose = "gooseberrysail peer handshake";
+constexpr std::string_view kDomainLabel = "gooseberrysail peer handshake";
 constexpr std::size_t kMaxNameBytes = 256;
 
 void AppendNumber(std::string& out, std::uint64_t number)
@@ -20,8 +20,8 @@
   }
 }
 
-// Each text goes in with its length. Without it "ab"+"c" and "a"+"bc" would have one proof, and a
-// process could pass for another whose name runs over into the next field.
+// Each text is preceded by its length. Otherwise "ab"+"c" and "a"+"bc" would have the same proof,
+// and a process could impersonate another by shifting characters between name and role.
 void AppendText(std::string& out, std::string_view text)
 {
   AppendNumber(out, text.size());
@@ -49,7 +49,7 @@
 {
   std::vector<std::uint8_t> nonce(kNonceBytes);
   if (RAND_bytes(nonce.data(), static_cast<int>(nonce.size())) != 1) {
-    // A guessable nonce would let an eavesdropper replay an old proof. There is no way on.
+    // A predictable nonce would allow replaying an old proof, so there is no safe way to continue.
     std::abort();
   }
   return nonce;
@@ -60,10 +60,10 @@
                 const wire::HelloT& dialler,
                 const wire::HelloT& acceptor)
 {
-  // The side is part of the proof: otherwise a stranger could dial us, echo our own proof from a
-  // second connection, and be taken for a peer.
+  // The side is part of the proof. Otherwise an attacker could connect, reflect our own proof from
+  // a second connection and be accepted as a peer.
   std::string message;
-  AppendText(message, kPurpose);
+  AppendText(message, kDomainLabel);
   AppendNumber(message, static_cast<std::uint64_t>(side));
   AppendHello(message, dialler);
   AppendHello(message, acceptor);
@@ -83,9 +83,9 @@
   return proof;
 }
 
-bool IsProof(const Proof& expected, std::span<const std::uint8_t> received) noexcept
+bool ProofMatches(const Proof& expected, std::span<const std::uint8_t> received) noexcept
 {
-  // A comparison that stops at the first difference tells by its time how much was right.
+  // The duration of a comparison that stops at the first difference reveals how many bytes match.
   return received.size() == expected.size() &&
          CRYPTO_memcmp(expected.data(), received.data(), expected.size()) == 0;
 }
@@ -97,17 +97,18 @@
   if (peer.protocol != kProtocol) {
     return Refusal(ErrorCode::kDenied,
                    address,
-                   "protocol " + std::to_string(peer.protocol) + " instead of " +
+                   "protocol version " + std::to_string(peer.protocol) + " instead of " +
                      std::to_string(kProtocol));
   }
   if (peer.process.empty() || peer.process.size() > kMaxNameBytes) {
-    return Refusal(ErrorCode::kInvalid, address, "no process name, or one too long");
+    return Refusal(ErrorCode::kInvalid, address, "the process name is empty or too long");
   }
   if (peer.process == own.process) {
-    return Refusal(ErrorCode::kConflict, address, "a peer with our own name, " + own.process);
+    return Refusal(
+      ErrorCode::kConflict, address, "the peer has the name of this process, " + own.process);
   }
   if (peer.nonce.size() != kNonceBytes || peer.nonce == own.nonce) {
-    return Refusal(ErrorCode::kInvalid, address, "a nonce of the wrong size, or our own");
+    return Refusal(ErrorCode::kInvalid, address, "the nonce has the wrong size or is our own");
   }
   return outcome::success();
 }
--- a/src/net/handshake.hpp
+++ b/src/net/handshake.hpp
@@ -13,15 +13,15 @@
 
 namespace gooseberrysail::impl {
 
-/// \brief Rises when older programs could not understand the frames any more.
+/// \brief Protocol version; increased by changes that older programs can't decode.
 inline constexpr std::uint32_t kProtocol = 1;
 
 inline constexpr std::size_t kNonceBytes = 32;
 
-/// \brief Largest frame taken from a caller who has not proved that it has the cluster key.
+/// \brief Largest frame accepted from a caller that is not authenticated yet.
 inline constexpr std::size_t kMaxHandshakeBytes = 4 * 1024;
 
-/// \brief Which side of a connection made a proof.
+/// \brief The side of a connection that created a proof.
 enum class ProofSide : std::uint8_t
 {
   kDialler = 1,
@@ -30,19 +30,20 @@
 
 using Proof = std::array<std::uint8_t, 32>;
 
-/// \brief A fresh unpredictable nonce.
+/// \brief Returns a new random nonce.
 [[nodiscard]] std::vector<std::uint8_t> MakeNonce();
 
-/// \brief HMAC-SHA256 with the cluster key over the side and all that both said of themselves.
+/// \brief HMAC-SHA256 with the cluster key over the side and both Hello messages.
 [[nodiscard]] Proof MakeProof(std::string_view clusterKey,
                               ProofSide side,
                               const wire::HelloT& dialler,
                               const wire::HelloT& acceptor);
 
-/// \brief Whether `received` is the proof, compared in constant time.
-[[nodiscard]] bool IsProof(const Proof& expected, std::span<const std::uint8_t> received) noexcept;
+/// \brief Whether `received` equals `expected`; compares in constant time.
+[[nodiscard]] bool ProofMatches(const Proof& expected,
+                                std::span<const std::uint8_t> received) noexcept;
 
-/// \brief Refuses a Hello of another protocol, without a name, or with our own name or nonce.
+/// \brief Rejects a Hello with another protocol, an invalid name or nonce, or our own of either.
 [[nodiscard]] Result<void> CheckHello(const wire::HelloT& own,
                                       const wire::HelloT& peer,
                                       const std::string& address);
--- a/src/net/peer_connection.cpp
+++ b/src/net/peer_connection.cpp
@@ -12,11 +12,11 @@
 
 namespace asio = boost::asio;
 
-// Small frames are joined into chunks of about this size and written with one call. A chunk is
-// also the most that a heartbeat can wait behind, large frames apart.
+// Small frames are joined into chunks of up to this size and written with one call. A heartbeat
+// waits for at most one chunk or one large frame.
 constexpr std::size_t kChunkBytes = 64 * 1024;
-// Larger frames aren't copied: a document goes to every entry, and a copy for each would be held
-// until the slowest of them has read it.
+// Frames of this size and larger are not copied: a document is sent to every entry, and a copy for
+// each connection would use memory until the slowest entry has received it.
 constexpr std::size_t kLargeBytes = 16 * 1024;
 
 } // namespace
@@ -40,8 +40,8 @@
   m_deadline.Disarm();
   boost::system::error_code ignored;
   socket.close(ignored);
-  m_first.Clear();
-  m_rest.Clear();
+  m_priorityQueue.Clear();
+  m_normalQueue.Clear();
   m_heartbeats.clear();
   m_queuedBytes = 0;
 }
@@ -51,7 +51,7 @@
   m_deadline.Arm(timeout, [this, reason = std::move(reason)] { Close(reason); });
 }
 
-void PeerConnection::Lane::Add(const SharedFrame& frame)
+void PeerConnection::SendQueue::Add(const SharedFrame& frame)
 {
   if (frame->size() >= kLargeBytes) {
     m_chunks.push_back({ frame, {} });
@@ -66,7 +66,7 @@
   joined.insert(joined.end(), frame->begin(), frame->end());
 }
 
-SharedFrame PeerConnection::Lane::TakeFront()
+SharedFrame PeerConnection::SendQueue::TakeFront()
 {
   Chunk chunk = std::move(m_chunks.front());
   m_chunks.pop_front();
@@ -80,8 +80,8 @@
     return;
   }
   m_queuedBytes += frame.bytes->size();
-  Lane& lane = frame.goesFirst ? m_first : m_rest;
-  lane.Add(frame.bytes);
+  SendQueue& queue = frame.isPriority ? m_priorityQueue : m_normalQueue;
+  queue.Add(frame.bytes);
   WriteSoon();
 }
 
@@ -95,8 +95,8 @@
   WriteSoon();
 }
 
-// Not at once: a role sends several frames in a row, and they should share one system call and one
-// packet.
+// The write is deferred because a role sends several frames in a row, which should share one system
+// call and one packet.
 void PeerConnection::WriteSoon()
 {
   if (m_isWriting) {
@@ -106,17 +106,17 @@
   asio::post(socket.get_executor(), [self = shared_from_this()] { self->WriteNext(); });
 }
 
-// Written by handlers rather than by a fiber of its own: a process holds hundreds of connections,
-// and a second stack for each would be most of what a connection costs.
+// Writes with completion handlers instead of a fiber: a process has hundreds of connections, and a
+// second stack would be most of the memory cost of each.
 void PeerConnection::WriteNext()
 {
-  Lane& lane = m_first.IsEmpty() ? m_rest : m_first;
-  m_isWriting = !Closed() && !(lane.IsEmpty() && m_heartbeats.empty());
+  SendQueue& queue = m_priorityQueue.IsEmpty() ? m_normalQueue : m_priorityQueue;
+  m_isWriting = !Closed() && !(queue.IsEmpty() && m_heartbeats.empty());
   if (!m_isWriting) {
     return;
   }
   m_writingHeartbeats = std::exchange(m_heartbeats, {});
-  m_writing = lane.IsEmpty() ? nullptr : lane.TakeFront();
+  m_writing = queue.IsEmpty() ? nullptr : queue.TakeFront();
   const std::array<asio::const_buffer, 2> buffers{ asio::buffer(m_writingHeartbeats),
                                                    m_writing ? asio::buffer(*m_writing)
                                                              : asio::const_buffer() };
--- a/src/net/peer_connection.hpp
+++ b/src/net/peer_connection.hpp
@@ -17,18 +17,19 @@
 
 using ConnectionId = StrongId<struct ConnectionTag, std::uint64_t>;
 
-/// \brief A frame's bytes; several connections may send the same.
+/// \brief An encoded frame, shared by the connections that send it.
 using SharedFrame = std::shared_ptr<const std::vector<std::uint8_t>>;
 
+/// \brief A frame to send, with its message type and priority.
 struct QueuedFrame
 {
   SharedFrame bytes;
   wire::Body kind = wire::Body::NONE;
-  bool goesFirst = false; ///< Before the frames of other kinds that aren't being written yet.
+  bool isPriority = false; ///< Sent before queued frames without priority.
 };
 
-/// \brief One TCP connection with a peer: its socket, what it has yet to send and what is known
-/// of the other side.
+/// \brief One TCP connection with a peer: its socket, its send queues and the identity of the
+/// peer.
 class PeerConnection : public std::enable_shared_from_this<PeerConnection>
 {
 public:
@@ -46,18 +47,18 @@
   [[nodiscard]] bool Dialled() const noexcept { return m_dialled; }
   [[nodiscard]] bool Closed() const noexcept { return phase == Phase::kClosed; }
 
-  /// \brief Closes the socket; the first reason given is kept. Completes every wait on it.
+  /// \brief Closes the socket, which completes all pending operations. The first reason is kept.
   void Close(std::string reason);
   [[nodiscard]] const std::string& CloseReason() const noexcept { return m_closeReason; }
 
-  /// \brief Closes the connection when the timeout passes without DisarmTimeout.
+  /// \brief Closes the connection unless DisarmTimeout is called within the timeout.
   void ArmTimeout(Duration timeout, std::string reason);
   void DisarmTimeout() { m_deadline.Disarm(); }
 
   /// \brief Queues a frame for sending.
   void Queue(const QueuedFrame& frame);
 
-  /// \brief Queues a heartbeat, which goes before all frames not yet being written.
+  /// \brief Queues a heartbeat, which is sent before all queued frames.
   void QueueHeartbeat(const std::vector<std::uint8_t>& frame);
 
   [[nodiscard]] std::size_t QueuedBytes() const noexcept { return m_queuedBytes; }
@@ -65,26 +66,26 @@
   boost::asio::ip::tcp::socket socket;
   FrameReader reader;
   Phase phase = Phase::kHandshake;
-  std::string address; ///< The other end of the socket.
+  std::string address; ///< The remote endpoint.
 
-  // Known once the handshake is done.
+  // Set during the handshake.
   ProcessId process;
   std::string role;
   Incarnation incarnation;
   std::string dialableAddress;
-  std::uint64_t establishedOrder = 0; ///< Comparable with ids: both come from one counter.
+  std::uint64_t establishedOrder = 0; ///< From the same counter as the ids.
 
-  std::uint64_t pinged = 0;   ///< The last heartbeat sent, on the side that dialled.
-  std::uint64_t answered = 0; ///< The newest heartbeat whose answer is known to have arrived.
-  TimePoint answeredAt{};     ///< When that became known.
-  bool silent = false;        ///< Given up for silence; being replaced.
+  std::uint64_t pinged = 0;   ///< Sequence of the last ping; on the dialling side.
+  std::uint64_t answered = 0; ///< Highest sequence known to be answered.
+  TimePoint answeredAt{};     ///< When `answered` last changed.
+  bool silent = false;        ///< Heartbeats unanswered; a replacement is dialled.
 
-  /// \brief Called after each write with its size.
+  /// \brief Called after each write with the number of bytes.
   std::function<void(std::size_t)> onWritten;
 
 private:
-  /// \brief Bytes that are written with one call: small frames joined, or one large one.
-  class Lane
+  /// \brief Frames waiting to be written, in chunks: joined small frames or one large frame.
+  class SendQueue
   {
   public:
     void Add(const SharedFrame& frame);
@@ -95,7 +96,7 @@
   private:
     struct Chunk
     {
-      SharedFrame large; ///< Null where `joined` counts.
+      SharedFrame large; ///< Null if `joined` is used.
       std::vector<std::uint8_t> joined;
     };
     std::deque<Chunk> m_chunks;
@@ -110,11 +111,11 @@
   std::string m_closeReason;
   Deadline m_deadline;
 
-  Lane m_first; ///< Frames that don't wait for those of m_rest.
-  Lane m_rest;
+  SendQueue m_priorityQueue; ///< Sent before m_normalQueue.
+  SendQueue m_normalQueue;
   std::vector<std::uint8_t> m_heartbeats;
   std::vector<std::uint8_t> m_writingHeartbeats;
-  SharedFrame m_writing; ///< Null when only heartbeats are written.
+  SharedFrame m_writing; ///< Null if only heartbeats are being written.
   std::size_t m_queuedBytes = 0;
   bool m_isWriting = false;
 };
--- a/src/net/peer_dialler.cpp
+++ b/src/net/peer_dialler.cpp
@@ -18,8 +18,8 @@
 {
   const unsigned doublings = std::min(failures - 1, kMaxBackoffDoublings);
   const Duration full = std::min(settings.backoffMin * (1U << doublings), settings.backoffMax);
-  // When many processes lose one peer together, the same waits would bring all of them back at the
-  // same moment, again and again.
+  // Without jitter, processes that lost the same peer together would all redial it at the same
+  // moments.
   std::uniform_real_distribution<double> share(0.5, 1.0);
   return std::chrono::duration_cast<Duration>(full * share(jitter));
 }
@@ -61,7 +61,7 @@
       return;
     }
     if (dialled.error().code == ErrorCode::kConflict && NeedsDial(peer)) {
-      // The peer dials us at this moment and chose that connection; it is about to stand.
+      // The peer is dialling us and chose that connection, which is about to be established.
       peer.changed.WaitFor(settings.dialTimeout);
     }
     if (NeedsDial(peer)) {
@@ -84,7 +84,7 @@
   const ConnectionPtr connection = Register(tcp::socket(runtime.Io()), true, address);
   peer.dial = connection->Id();
   connection->phase = Connection::Phase::kConnecting;
-  connection->ArmTimeout(settings.dialTimeout, "no answer in time");
+  connection->ArmTimeout(settings.dialTimeout, "timed out while dialling");
   const auto [error, size] =
     Await([&](auto done) { connection->socket.async_connect(endpoint, done); });
   Result<void> proved = outcome::success();
@@ -96,10 +96,10 @@
     boost::system::error_code ignored;
     connection->socket.set_option(tcp::no_delay(true), ignored);
     connection->phase = Connection::Phase::kHandshake;
-    proved = ProveAsDialler(connection, name);
+    proved = AuthenticateAsDialler(connection, name);
   }
   if (!proved) {
-    Lose(connection, proved.error().step, proved.error().description);
+    Disconnect(connection, proved.error().step, proved.error().description);
     return proved;
   }
   Establish(connection);
@@ -125,12 +125,15 @@
       silent->silent = false;
       return;
     }
-    Lose(silent, "redial silent peer", "went silent, and " + error.step + ": " + error.description);
+    Disconnect(silent,
+               "redial silent peer",
+               "heartbeats unanswered, and redialling failed: " + error.step + ": " +
+                 error.description);
     return;
   }
   peer.waiting.clear();
   peer.waitingBytes = 0;
-  Down(name, Incarnation(), error.step + ": " + error.description);
+  NotifyDown(name, Incarnation(), error.step + ": " + error.description);
 }
 
 } // namespace gooseberrysail
--- a/src/net/peer_handshake.cpp
+++ b/src/net/peer_handshake.cpp
@@ -20,7 +20,7 @@
   return Error{ code, std::move(step), peer, std::move(text) };
 }
 
-void TakeIdentity(impl::PeerConnection& connection, const wire::HelloT& hello)
+void SetIdentity(impl::PeerConnection& connection, const wire::HelloT& hello)
 {
   connection.process = ProcessId(hello.process);
   connection.role = hello.role;
@@ -39,7 +39,7 @@
       return;
     }
     if (error) {
-      // Out of descriptors, accept fails at once each time: without a wait it would spin.
+      // Without free file descriptors, accept fails immediately; the delay prevents a busy loop.
       Emit(EventNumber::kAcceptFailed,
            { { "address", listenAddress }, { "reason", error.message() } });
       runtime.SleepFor(kAcceptRetry);
@@ -51,7 +51,7 @@
       continue;
     }
     if (handshakes >= settings.maxHandshakes) {
-      // Strangers who connect and say nothing must not use up our descriptors and memory.
+      // Unauthenticated connections that send nothing must not exhaust descriptors and memory.
       ++counters.refused;
       continue;
     }
@@ -64,12 +64,12 @@
 void PeerMesh::Impl::ServeAccepted(const ConnectionPtr& connection)
 {
   ++handshakes;
-  connection->ArmTimeout(settings.dialTimeout, "handshake not finished in time");
-  const Result<void> proved = ProveAsAcceptor(connection);
+  connection->ArmTimeout(settings.dialTimeout, "the handshake timed out");
+  const Result<void> proved = AuthenticateAsAcceptor(connection);
   --handshakes;
   if (!proved) {
     ReportRefused(*connection, proved.error());
-    Lose(connection, proved.error().step, proved.error().description);
+    Disconnect(connection, proved.error().step, proved.error().description);
     return;
   }
   Serve(connection);
@@ -87,16 +87,16 @@
   return hello;
 }
 
-Result<void> PeerMesh::Impl::ProveAsDialler(const ConnectionPtr& connection,
-                                            const ProcessId& expected)
+Result<void> PeerMesh::Impl::AuthenticateAsDialler(const ConnectionPtr& connection,
+                                                   const ProcessId& expected)
 {
   const wire::HelloT own = OwnHello();
-  BOOST_OUTCOME_TRY(WriteNow(connection, impl::EncodeFrame(*MakeEnvelope(own))));
-  BOOST_OUTCOME_TRY(const auto helloFrame, ReadNow(connection));
+  BOOST_OUTCOME_TRY(WriteHandshakeFrame(connection, impl::EncodeFrame(*MakeEnvelope(own))));
+  BOOST_OUTCOME_TRY(const auto helloFrame, ReadHandshakeFrame(connection));
   const wire::HelloT* const hello = helloFrame->body.AsHello();
   if (hello == nullptr) {
     return HandshakeError(
-      ErrorCode::kCorrupt, "read hello", connection->address, "another message came first");
+      ErrorCode::kCorrupt, "read hello", connection->address, "expected a Hello message");
   }
   BOOST_OUTCOME_TRY(impl::CheckHello(own, *hello, connection->address));
   if (hello->process != expected.Get()) {
@@ -105,17 +105,18 @@
                           connection->address,
                           "reached " + hello->process + " instead of " + expected.Get());
   }
-  TakeIdentity(*connection, *hello);
+  SetIdentity(*connection, *hello);
   const impl::Proof ownProof =
     impl::MakeProof(settings.clusterKey, impl::ProofSide::kDialler, own, *hello);
   wire::HelloProofT proof;
   proof.proof.assign(ownProof.begin(), ownProof.end());
-  BOOST_OUTCOME_TRY(WriteNow(connection, impl::EncodeFrame(*MakeEnvelope(std::move(proof)))));
-  BOOST_OUTCOME_TRY(const auto answerFrame, ReadNow(connection));
+  BOOST_OUTCOME_TRY(
+    WriteHandshakeFrame(connection, impl::EncodeFrame(*MakeEnvelope(std::move(proof)))));
+  BOOST_OUTCOME_TRY(const auto answerFrame, ReadHandshakeFrame(connection));
   const wire::HelloProofT* const answer = answerFrame->body.AsHelloProof();
   if (answer == nullptr) {
     return HandshakeError(
-      ErrorCode::kCorrupt, "read proof", connection->address, "another message came instead");
+      ErrorCode::kCorrupt, "read proof", connection->address, "expected a HelloProof message");
   }
   if (!answer->refusal.empty()) {
     return HandshakeError(
@@ -123,65 +124,69 @@
   }
   const impl::Proof wanted =
     impl::MakeProof(settings.clusterKey, impl::ProofSide::kAcceptor, own, *hello);
-  if (!impl::IsProof(wanted, answer->proof)) {
+  if (!impl::ProofMatches(wanted, answer->proof)) {
     return HandshakeError(
       ErrorCode::kDenied, "read proof", connection->address, "the cluster keys differ");
   }
   return outcome::success();
 }
 
-Result<void> PeerMesh::Impl::ProveAsAcceptor(const ConnectionPtr& connection)
+Result<void> PeerMesh::Impl::AuthenticateAsAcceptor(const ConnectionPtr& connection)
 {
-  BOOST_OUTCOME_TRY(const auto helloFrame, ReadNow(connection));
+  BOOST_OUTCOME_TRY(const auto helloFrame, ReadHandshakeFrame(connection));
   const wire::HelloT* const hello = helloFrame->body.AsHello();
   if (hello == nullptr) {
     return HandshakeError(
-      ErrorCode::kCorrupt, "read hello", connection->address, "another message came first");
+      ErrorCode::kCorrupt, "read hello", connection->address, "expected a Hello message");
   }
   const wire::HelloT own = OwnHello();
   BOOST_OUTCOME_TRY(impl::CheckHello(own, *hello, connection->address));
-  TakeIdentity(*connection, *hello);
-  BOOST_OUTCOME_TRY(WriteNow(connection, impl::EncodeFrame(*MakeEnvelope(own))));
-  BOOST_OUTCOME_TRY(const auto proofFrame, ReadNow(connection));
+  SetIdentity(*connection, *hello);
+  BOOST_OUTCOME_TRY(WriteHandshakeFrame(connection, impl::EncodeFrame(*MakeEnvelope(own))));
+  BOOST_OUTCOME_TRY(const auto proofFrame, ReadHandshakeFrame(connection));
   const wire::HelloProofT* const proof = proofFrame->body.AsHelloProof();
   if (proof == nullptr) {
     return HandshakeError(
-      ErrorCode::kCorrupt, "read proof", connection->address, "another message came instead");
+      ErrorCode::kCorrupt, "read proof", connection->address, "expected a HelloProof message");
   }
   const impl::Proof wanted =
     impl::MakeProof(settings.clusterKey, impl::ProofSide::kDialler, *hello, own);
-  if (!impl::IsProof(wanted, proof->proof)) {
+  if (!impl::ProofMatches(wanted, proof->proof)) {
     return HandshakeError(
       ErrorCode::kDenied, "read proof", connection->address, "the cluster keys differ");
   }
   wire::HelloProofT answer;
   if (IsDuplicate(*connection)) {
     answer.refusal = kDuplicate;
-    BOOST_OUTCOME_TRY(WriteNow(connection, impl::EncodeFrame(*MakeEnvelope(std::move(answer)))));
+    BOOST_OUTCOME_TRY(
+      WriteHandshakeFrame(connection, impl::EncodeFrame(*MakeEnvelope(std::move(answer)))));
     return HandshakeError(
       ErrorCode::kConflict, "choose connection", connection->address, kDuplicate);
   }
   if (const ConnectionPtr dial = Find(peers[connection->process].dial)) {
-    dial->Close("an incoming connection was taken instead");
+    dial->Close("an incoming connection was accepted instead");
   }
   const impl::Proof ownProof =
     impl::MakeProof(settings.clusterKey, impl::ProofSide::kAcceptor, *hello, own);
   answer.proof.assign(ownProof.begin(), ownProof.end());
   const auto frame =
     std::make_shared<const Frame>(impl::EncodeFrame(*MakeEnvelope(std::move(answer))));
-  // In the lane of the log: its frames may be waiting for this connection, and must not go before.
+  // Sent with priority, because frames of the replicated log may already wait for this connection
+  // and must not be sent before the proof.
   connection->Queue({ frame, wire::Body::HelloProof, true });
   Establish(connection);
   return outcome::success();
 }
 
-// Two processes that dial each other at one moment would each close the connection that the other
-// chose, over and over. The accepting side alone decides, by rules that can't contradict each
-// other:
-// - the dial of the smaller name wins while it is past connecting, and the other is refused;
-// - an incoming connection older than the one that stands was given up by the peer.
-// Every other incoming connection replaces the present one: the peer dials only when it has lost
-// it.
+// Two processes that dial each other at the same time could each keep closing the connection that
+// the other chose. Therefore only the accepting side decides, by rules that are consistent on both
+// sides:
+// - while our own dial is in its handshake and our name is the smaller one, the incoming connection
+//   is refused;
+// - an incoming connection that is older than the established one is refused, because the peer has
+//   already abandoned it.
+// Any other incoming connection replaces the established one, because a peer dials only when it
+// has lost its connection.
 bool PeerMesh::Impl::IsDuplicate(const Connection& connection) const
 {
   const auto found = peers.find(connection.process);
@@ -197,7 +202,8 @@
   return present && present->establishedOrder > connection.Id().Get();
 }
 
-Result<void> PeerMesh::Impl::WriteNow(const ConnectionPtr& connection, const Frame& frame)
+Result<void> PeerMesh::Impl::WriteHandshakeFrame(const ConnectionPtr& connection,
+                                                 const Frame& frame)
 {
   const auto [error, size] =
     Await([&](auto done) { asio::async_write(connection->socket, asio::buffer(frame), done); });
@@ -212,7 +218,7 @@
   return outcome::success();
 }
 
-Result<std::shared_ptr<const wire::EnvelopeT>> PeerMesh::Impl::ReadNow(
+Result<std::shared_ptr<const wire::EnvelopeT>> PeerMesh::Impl::ReadHandshakeFrame(
   const ConnectionPtr& connection)
 {
   for (;;) {
@@ -233,7 +239,7 @@
       return HandshakeError(ErrorCode::kIo,
                             "read handshake",
                             connection->address,
-                            ended ? "closed by the other side" : error.message());
+                            ended ? "closed by the peer" : error.message());
     }
     connection->reader.Commit(size);
     counters.bytesReceived += size;
--- a/src/net/peer_mesh.cpp
+++ b/src/net/peer_mesh.cpp
@@ -28,7 +28,9 @@
 Result<void> PeerMesh::Impl::Start()
 {
   if (settings.clusterKey.empty()) {
-    return Error{ ErrorCode::kInvalid, "start mesh", settings.process.Get(), "no cluster key" };
+    return Error{
+      ErrorCode::kInvalid, "start mesh", settings.process.Get(), "the cluster key is empty"
+    };
   }
   BOOST_OUTCOME_TRY(auto listening, Listen(runtime.Io(), settings.listenAddress));
   acceptor = std::move(listening);
@@ -38,12 +40,12 @@
     return Error{ ErrorCode::kIo, "listen", settings.listenAddress, error.message() };
   }
   listenAddress = ToAddress(bound);
-  // A wildcard address can't be dialled, so it isn't announced.
+  // A wildcard address can't be dialled, so it is not announced.
   if (settings.announcedAddress.empty() && !bound.address().is_unspecified()) {
     settings.announcedAddress = listenAddress;
   }
   Spawn([this] { Accept(); });
-  Spawn([this] { Beat(); });
+  Spawn([this] { RunHeartbeats(); });
   return outcome::success();
 }
 
@@ -63,12 +65,12 @@
   boost::system::error_code ignored;
   acceptor.close(ignored);
   for (const auto& [id, connection] : connections) {
-    connection->Close("this process stops");
+    connection->Close("this process is stopping");
   }
   for (auto& [name, peer] : peers) {
     peer.changed.Notify();
   }
-  wakeBeat.Notify();
+  heartbeatWake.Notify();
   while (fibers > 0) {
     fiberEnded.Wait();
   }
@@ -124,7 +126,7 @@
   count.bytes += bytes;
 }
 
-// What many peers are told in a row is encoded once.
+// An envelope that is sent to several peers in a row is encoded once.
 impl::SharedFrame PeerMesh::Impl::Encode(const FrameOut& out)
 {
   if (out.envelope != lastEncoded) {
@@ -143,16 +145,17 @@
   return sum;
 }
 
-// A peer that reads slower than we write would take all our memory, and many that read a little
-// slowly as well: then those have no room for which more waits than their part.
+// Limits the memory used by peers that read too slowly. When all queues together exceed their
+// limit, only connections that queue no more than their fair share may queue further frames.
 bool PeerMesh::Impl::HasRoom(const Connection& connection, std::size_t size) const
 {
   const std::size_t queued = connection.QueuedBytes() + size;
   if (queued > settings.maxQueuedBytes) {
     return false;
   }
-  const std::size_t fairPart = settings.maxAllQueuedBytes / std::max<std::size_t>(standing, 1);
-  return queued <= fairPart || AllQueuedBytes() + size <= settings.maxAllQueuedBytes;
+  const std::size_t fairShare =
+    settings.maxAllQueuedBytes / std::max<std::size_t>(establishedCount, 1);
+  return queued <= fairShare || AllQueuedBytes() + size <= settings.maxAllQueuedBytes;
 }
 
 void PeerMesh::Impl::Send(const FrameOut& out)
@@ -163,7 +166,7 @@
   const impl::QueuedFrame frame{ Encode(out), out.envelope->body.type, GoesFirst(*out.envelope) };
   const std::size_t size = frame.bytes->size();
   if (size - impl::kFramePrefixBytes > kMaxFrameBytes) {
-    // The peer would close the connection on it, and again on each retry.
+    // The peer would close the connection on receipt, and again on each retry.
     Emit(EventNumber::kPeerFrameTooLarge,
          { { "peer", out.peer.Get() },
            { "kind", BodyName(*out.envelope) },
@@ -179,19 +182,19 @@
   const ConnectionPtr connection = Find(peer.connection);
   if (!connection) {
     if (!out.address.empty()) {
-      Keep(out.peer, peer, frame);
+      QueueUntilConnected(out.peer, peer, frame);
     }
     return;
   }
   if (!HasRoom(*connection, size)) {
-    ReportFull(out.peer, connection->QueuedBytes());
-    Lose(connection, "send frame", "outbound queue full");
+    ReportQueueFull(out.peer, connection->QueuedBytes());
+    Disconnect(connection, "send frame", "the send queue is full");
     return;
   }
-  Hand(*connection, frame);
+  QueueFrame(*connection, frame);
 }
 
-void PeerMesh::Impl::ReportFull(const ProcessId& name, std::size_t queued) const
+void PeerMesh::Impl::ReportQueueFull(const ProcessId& name, std::size_t queued) const
 {
   Emit(EventNumber::kPeerQueueFull,
        { { "peer", name.Get() },
@@ -199,21 +202,21 @@
          { "limit", std::to_string(settings.maxQueuedBytes) } });
 }
 
-void PeerMesh::Impl::Hand(Connection& connection, const impl::QueuedFrame& frame)
+void PeerMesh::Impl::QueueFrame(Connection& connection, const impl::QueuedFrame& frame)
 {
   ++counters.framesSent;
   Count(counters.sentByKind, frame.kind, frame.bytes->size());
   connection.Queue(frame);
 }
 
-void PeerMesh::Impl::Keep(const ProcessId& name, Peer& peer, impl::QueuedFrame frame)
+void PeerMesh::Impl::QueueUntilConnected(const ProcessId& name, Peer& peer, impl::QueuedFrame frame)
 {
   const std::size_t size = frame.bytes->size();
   if (peer.waitingBytes + size > settings.maxQueuedBytes) {
-    ReportFull(name, peer.waitingBytes);
+    ReportQueueFull(name, peer.waitingBytes);
     peer.waiting.clear();
     peer.waitingBytes = 0;
-    Down(name, Incarnation(), "outbound queue full before a connection stood");
+    NotifyDown(name, Incarnation(), "the send queue filled up before a connection was established");
     return;
   }
   peer.waitingBytes += size;
@@ -225,9 +228,11 @@
 {
   Peer& peer = peers[connection->process];
   if (const ConnectionPtr old = Find(peer.connection)) {
-    // The old one must be told as down first: frames on it may be lost, and the role that gets
-    // PeerUp sends them again.
-    Lose(old, "replace connection", old->silent ? "went silent" : "replaced by a newer one");
+    // PeerDown for the old connection must come first: its frames may be lost, and the role sends
+    // them again on PeerUp.
+    Disconnect(old,
+               "replace connection",
+               old->silent ? "heartbeats unanswered" : "replaced by a newer connection");
   }
   connection->DisarmTimeout();
   connection->reader.SetLimit(kMaxFrameBytes);
@@ -242,9 +247,9 @@
   peer.retryAt = TimePoint{};
   peer.usedAt = connection->answeredAt;
   peer.changed.Notify();
-  ++standing;
+  ++establishedCount;
   for (const impl::QueuedFrame& frame : std::exchange(peer.waiting, {})) {
-    Hand(*connection, frame);
+    QueueFrame(*connection, frame);
   }
   peer.waitingBytes = 0;
   Emit(EventNumber::kPeerConnected,
@@ -261,15 +266,15 @@
   }
 }
 
-void PeerMesh::Impl::Lose(const ConnectionPtr& connection,
-                          std::string_view step,
-                          const std::string& reason)
+void PeerMesh::Impl::Disconnect(const ConnectionPtr& connection,
+                                std::string_view step,
+                                const std::string& reason)
 {
   connection->Close(reason);
   if (connections.erase(connection->Id()) == 0 || connection->establishedOrder == 0) {
     return;
   }
-  --standing;
+  --establishedCount;
   const auto found = peers.find(connection->process);
   if (found == peers.end() || found->second.connection != connection->Id()) {
     return;
@@ -281,10 +286,12 @@
          { "incarnation", std::to_string(connection->incarnation.Get()) },
          { "step", std::string(step) },
          { "reason", reason } });
-  Down(connection->process, connection->incarnation, reason);
+  NotifyDown(connection->process, connection->incarnation, reason);
 }
 
-void PeerMesh::Impl::Down(const ProcessId& name, Incarnation incarnation, std::string reason) const
+void PeerMesh::Impl::NotifyDown(const ProcessId& name,
+                                Incarnation incarnation,
+                                std::string reason) const
 {
   if (hooks.onDown && !closed) {
     hooks.onDown(PeerDown{ name, incarnation, std::move(reason) });
@@ -352,7 +359,7 @@
 
 std::size_t PeerMesh::ConnectionCount() const noexcept
 {
-  return m_impl->standing;
+  return m_impl->establishedCount;
 }
 
 } // namespace gooseberrysail
--- a/src/net/peer_traffic.cpp
+++ b/src/net/peer_traffic.cpp
@@ -18,7 +18,7 @@
 void PeerMesh::Impl::Serve(const ConnectionPtr& connection)
 {
   while (!connection->Closed()) {
-    const Result<void> taken = TakeFrames(connection);
+    const Result<void> taken = DispatchFrames(connection);
     if (connection->Closed()) {
       break;
     }
@@ -29,7 +29,7 @@
              { "address", connection->address },
              { "step", taken.error().step },
              { "reason", taken.error().description } });
-      Lose(connection, taken.error().step, taken.error().description);
+      Disconnect(connection, taken.error().step, taken.error().description);
       return;
     }
     const auto room = connection->reader.Prepare();
@@ -41,16 +41,16 @@
     }
     if (error) {
       const bool ended = error == asio::error::eof;
-      Lose(connection, "read frame", ended ? "closed by the peer" : error.message());
+      Disconnect(connection, "read frame", ended ? "closed by the peer" : error.message());
       return;
     }
     connection->reader.Commit(size);
     counters.bytesReceived += size;
   }
-  Lose(connection, "serve connection", connection->CloseReason());
+  Disconnect(connection, "serve connection", connection->CloseReason());
 }
 
-Result<void> PeerMesh::Impl::TakeFrames(const ConnectionPtr& connection)
+Result<void> PeerMesh::Impl::DispatchFrames(const ConnectionPtr& connection)
 {
   while (!connection->Closed()) {
     BOOST_OUTCOME_TRY(const auto bytes, connection->reader.Next(connection->process.Get()));
@@ -58,33 +58,33 @@
       break;
     }
     BOOST_OUTCOME_TRY(const auto envelope, DecodeEnvelope(*bytes, connection->process.Get()));
-    BOOST_OUTCOME_TRY(TakeFrame(connection, envelope, bytes->size()));
+    BOOST_OUTCOME_TRY(DispatchFrame(connection, envelope, bytes->size()));
   }
   return outcome::success();
 }
 
-Result<void> PeerMesh::Impl::TakeFrame(const ConnectionPtr& connection,
-                                       const std::shared_ptr<const wire::EnvelopeT>& envelope,
-                                       std::size_t bytes)
+Result<void> PeerMesh::Impl::DispatchFrame(const ConnectionPtr& connection,
+                                           const std::shared_ptr<const wire::EnvelopeT>& envelope,
+                                           std::size_t bytes)
 {
   switch (envelope->body.type) {
     case wire::Body::Ping: {
       const wire::PingT& ping = *envelope->body.AsPing();
-      NoteAnswered(*connection, ping.answered);
+      RecordAnswer(*connection, ping.answered);
       wire::PongT pong;
       pong.sequence = ping.sequence;
       connection->QueueHeartbeat(impl::EncodeFrame(*MakeEnvelope(pong)));
       break;
     }
     case wire::Body::Pong:
-      NoteAnswered(*connection, envelope->body.AsPong()->sequence);
+      RecordAnswer(*connection, envelope->body.AsPong()->sequence);
       break;
     case wire::Body::Hello:
     case wire::Body::HelloProof:
       return Error{ ErrorCode::kInvalid,
                     "read frame",
                     connection->process.Get(),
-                    "a handshake message after the handshake" };
+                    "unexpected handshake message after the handshake" };
     default:
       Count(counters.receivedByKind, envelope->body.type, bytes);
       ++counters.framesReceived;
@@ -95,9 +95,9 @@
   return outcome::success();
 }
 
-// Only a newer number counts: when the way to the dialler swallows everything, its heartbeats go on
-// arriving here, but they repeat the same answer.
-void PeerMesh::Impl::NoteAnswered(Connection& connection, std::uint64_t sequence) const
+// Only an increase counts: when all bytes to the dialler are lost, its pings still arrive here, but
+// they repeat the same `answered` value.
+void PeerMesh::Impl::RecordAnswer(Connection& connection, std::uint64_t sequence) const
 {
   if (sequence > connection.answered) {
     connection.answered = sequence;
@@ -105,26 +105,26 @@
   }
 }
 
-void PeerMesh::Impl::Beat()
+void PeerMesh::Impl::RunHeartbeats()
 {
   const Duration period = std::min(settings.heartbeatInterval, settings.silenceTimeout / 4);
   TimePoint last = BootNow();
   while (!closed) {
-    wakeBeat.WaitFor(period);
+    heartbeatWake.WaitFor(period);
     const TimePoint now = BootNow();
-    // After this process itself was paused, every connection looks silent. Replacing them all at
-    // once would interrupt everything for nothing; peers that gave us up have closed them.
+    // After a pause of this process, all connections appear silent. Replacing them all would be a
+    // needless interruption; peers whose timeout expired have already closed theirs.
     const bool stalled = now - last > period + settings.silenceTimeout / 2;
     last = now;
     if (!closed) {
-      BeatOnce(now, period, stalled);
+      SendHeartbeats(now, period, stalled);
     }
   }
 }
 
-void PeerMesh::Impl::BeatOnce(TimePoint now, Duration period, bool stalled)
+void PeerMesh::Impl::SendHeartbeats(TimePoint now, Duration period, bool stalled)
 {
-  // Hooks called on the way may change the table.
+  // Copied because hooks called in the loop may modify the table.
   std::vector<ConnectionPtr> present;
   present.reserve(connections.size());
   for (const auto& [id, connection] : connections) {
@@ -133,7 +133,7 @@
     }
   }
   for (const ConnectionPtr& connection : present) {
-    // One side's heartbeats prove both ways for both sides, at half the bytes.
+    // Only the dialler sends pings; they verify both directions for both sides with half the bytes.
     if (connection->Dialled()) {
       wire::PingT ping;
       ping.sequence = ++connection->pinged;
@@ -143,19 +143,19 @@
     if (stalled) {
       connection->answeredAt = now;
     }
-    // Given up at the last look that still is within the timeout.
+    // Replaced at the last check before the timeout expires.
     const bool late = now + period - connection->answeredAt > settings.silenceTimeout;
     if (late && !connection->silent && !connection->Closed()) {
-      GiveUpSilent(connection, now);
+      ReplaceSilent(connection, now);
     }
   }
   ForgetIdlePeers(now);
 }
 
-// Something between the two ends may drop every byte of an open connection without closing it:
-// writes succeed, reads wait for ever, and only missing answers to heartbeats show it. New
-// connections work, so one is dialled before the old one is given up.
-void PeerMesh::Impl::GiveUpSilent(const ConnectionPtr& connection, TimePoint now)
+// A network device may drop all bytes of an open connection without closing it: writes succeed,
+// reads wait forever, and only unanswered heartbeats reveal it. New connections may work, so a
+// replacement is dialled before the old connection is closed.
+void PeerMesh::Impl::ReplaceSilent(const ConnectionPtr& connection, TimePoint now)
 {
   Peer& peer = peers[connection->process];
   ++counters.silent;
@@ -164,7 +164,7 @@
          { "address", connection->address },
          { "silentMillis", std::to_string(ToMillis(now - connection->answeredAt)) } });
   if (peer.address.empty()) {
-    Lose(connection, "heartbeat", "went silent");
+    Disconnect(connection, "heartbeat", "heartbeats unanswered");
     return;
   }
   connection->silent = true;
--- a/src/process/usage.cpp
+++ b/src/process/usage.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-// Fields of /proc/PID/stat after the command name, which may itself hold spaces and brackets.
+// Field indexes in /proc/PID/stat, counted after the command name, which may contain spaces and
+// brackets.
 constexpr int kUserTicksField = 11;
 constexpr int kResidentPagesField = 21;
 
--- a/src/shell/agent_shell.cpp
+++ b/src/shell/agent_shell.cpp
@@ -54,7 +54,7 @@
     { .onUp = [&](PeerUp up) { loop->Post(std::move(up)); },
       .onDown = [&](PeerDown down) { loop->Post(std::move(down)); },
       .onFrame = [&](FrameIn frame) { loop->Post(std::move(frame)); },
-      // Callers have no business with an agent: its HTTP listener only tells that it lives.
+      // Agents accept no requests from callers; the HTTP listener only serves the health check.
       .onRequest = [&](const HttpRequestIn& request) { shell.Send(impl::AnswerHealth(request)); },
       .onCallerGone = [](HttpCallerGone) {},
       .onStop = [&] { loop->Post(StopRequested{}); } });
--- a/src/shell/control_shell.cpp
+++ b/src/shell/control_shell.cpp
@@ -15,23 +15,23 @@
 
 namespace {
 
-/// How one life of the control role ended.
-enum class Ending
+/// The result of one run of the control role.
+enum class RunResult
 {
   kStopped,
   kNotStarted,
   kStorageFailed,
 };
 
-/// A disk that was full is tried again this often.
+/// Delay before the storage is opened again after an I/O error.
 constexpr auto kStorageRetry = std::chrono::seconds(1);
 
-/// A target on the local network takes a connection at once or is down; a lost packet is sent again
-/// within 200 to 300 ms.
+/// A target on the local network accepts a connection immediately or is down; the timeout allows
+/// for one retransmission of a lost packet, which takes 200 to 300 ms.
 constexpr Duration kTargetConnectTimeout = std::chrono::milliseconds(500);
 
-/// Some of them may be lost before the followers take the leader for dead.
-constexpr int kHeartbeatsPerElection = 5;
+/// Several heartbeats may be lost before followers start an election.
+constexpr int kHeartbeatsPerElectionTimeout = 5;
 
 ControlSettings ToControlSettings(const ProcessSettings& settings, const impl::ProcessShell& shell)
 {
@@ -60,7 +60,7 @@
     raft.mayFound = settings.control.mayFound;
   }
   raft.electionTimeout = settings.control.electionTimeout;
-  raft.heartbeat = raft.electionTimeout / kHeartbeatsPerElection;
+  raft.heartbeat = raft.electionTimeout / kHeartbeatsPerElectionTimeout;
   return raft;
 }
 
@@ -81,7 +81,7 @@
   };
 }
 
-/// One control process: the replicated log and its files below the role.
+/// One control process: the replicated log, its storage and the control role.
 class ControlShell
 {
 public:
@@ -119,11 +119,11 @@
     }
   }
 
-  Ending Run()
+  RunResult Run()
   {
     if (const Result<void> started = Start(); !started) {
       m_shell.RecordFailure(started.error());
-      return Ending::kNotStarted;
+      return RunResult::kNotStarted;
     }
     for (const EventOut& event : m_store.OpenEvents()) {
       m_shell.Record(event);
@@ -134,7 +134,7 @@
       m_shell.Finish();
     });
     m_shell.Runtime().Run();
-    return m_failed ? Ending::kStorageFailed : Ending::kStopped;
+    return m_failed ? RunResult::kStorageFailed : RunResult::kStopped;
   }
 
 private:
@@ -149,7 +149,7 @@
                            .onReload = {} });
   }
 
-  /// Only control processes take part in the log, whoever else has the key.
+  /// Accepts Raft messages from control processes only; other peers also have the cluster key.
   void OnFrame(FrameIn frame)
   {
     const auto* message = frame.envelope->body.AsRaftMessage();
@@ -163,7 +163,7 @@
     }
   }
 
-  /// \returns "" for a process that is no control process.
+  /// \returns "" if the process is not a control process.
   [[nodiscard]] std::string AddressOf(const ProcessId& process) const
   {
     const auto found = m_addresses.find(process);
@@ -181,18 +181,18 @@
     for (const FrameIn& frame : messages) {
       m_raft.Step(now, *frame.envelope->body.AsRaftMessage());
     }
-    WorkOffLog();
+    ProcessReadyOutput();
     if (m_failed) {
       return;
     }
     m_role.Tick(now, m_raft.Status(), inbox, outbox);
-    WorkOffLog();
+    ProcessReadyOutput();
     if (m_raft.WantsSnapshot()) {
       m_raft.OnSnapshotTaken(m_raft.Status().applied, m_role.TakeSnapshot());
     }
   }
 
-  void WorkOffLog()
+  void ProcessReadyOutput()
   {
     while (!m_failed && m_raft.HasReady()) {
       const ReadyOutput ready = m_raft.TakeReady();
@@ -240,8 +240,8 @@
     }
   }
 
-  /// After a failed sync nobody knows what the disk holds, so this life must promise nothing more:
-  /// the process ends and the next start reads the disk anew.
+  /// After a failed sync the contents of the disk are unknown, so this run must not acknowledge
+  /// anything further. It ends, and the next run reads the state from the disk.
   void Fail(const Error& error)
   {
     m_failed = true;
@@ -265,11 +265,12 @@
   }
 
   impl::ProcessShell m_shell;
-  std::function<std::string(const ProcessId&)> m_addressOf; ///< Unset where the settings name all.
+  std::function<std::string(const ProcessId&)>
+    m_addressOf; ///< Unset if the settings list all controls.
   ControlStore m_store;
   RaftNode m_raft;
   ControlRole m_role;
-  HttpClient m_targets; ///< Orders to targets.
+  HttpClient m_targets; ///< Sends orders to targets.
   RoleLoop<ControlInput, ControlOutput> m_loop;
   std::map<ProcessId, std::string> m_addresses;
   std::vector<FrameIn> m_raftInbox;
@@ -285,7 +286,7 @@
 
 namespace {
 
-Ending RunControlOnce(const ProcessSettings& settings, const OutsideApi& outside)
+RunResult RunControlOnce(const ProcessSettings& settings, const OutsideApi& outside)
 {
   std::random_device random;
   ControlStoreOptions options;
@@ -294,7 +295,8 @@
   Result<ControlStore> store = ControlStore::Open(std::move(options));
   if (!store) {
     PrintFailure(store.error());
-    return store.error().code == ErrorCode::kIo ? Ending::kStorageFailed : Ending::kNotStarted;
+    return store.error().code == ErrorCode::kIo ? RunResult::kStorageFailed
+                                                : RunResult::kNotStarted;
   }
   ControlShell shell(settings, std::move(store).value(), outside);
   return shell.Run();
@@ -302,16 +304,16 @@
 
 } // namespace
 
-// A disk that takes no writes for a while, being full say, is no reason to end the process: what it
-// promised is on the disk, so it starts anew from there, as after a restart, until writes work.
+// A storage failure such as a full disk does not end the process. All acknowledged state is on the
+// disk, so the role is restarted from it, as after a process restart, until writes succeed.
 DaemonExit RunControl(const ProcessSettings& settings, const OutsideApi& outside)
 {
-  Ending ending = RunControlOnce(settings, outside);
-  while (ending == Ending::kStorageFailed) {
+  RunResult result = RunControlOnce(settings, outside);
+  while (result == RunResult::kStorageFailed) {
     std::this_thread::sleep_for(kStorageRetry);
-    ending = RunControlOnce(settings, outside);
+    result = RunControlOnce(settings, outside);
   }
-  return ending == Ending::kStopped ? DaemonExit::kStopped : DaemonExit::kFailed;
+  return result == RunResult::kStopped ? DaemonExit::kStopped : DaemonExit::kFailed;
 }
 
 } // namespace gooseberrysail
--- a/src/shell/gateway_shell.cpp
+++ b/src/shell/gateway_shell.cpp
@@ -10,9 +10,9 @@
 
 using namespace std::chrono_literals;
 
-/// A target on the local network answers a connection at once or is not there.
+/// A target on the local network accepts a connection immediately or is down.
 constexpr Duration kConnectTimeout = 500ms;
-/// Targets close idle connections after a timeout that they announce; this is below what is usual.
+/// Targets close idle connections after a timeout that they announce; this is below usual values.
 constexpr Duration kIdleFor = 4s;
 
 GatewaySettings ToGatewaySettings(const ProcessSettings& settings)
@@ -31,7 +31,7 @@
   HttpClientSettings client;
   client.connectTimeout = kConnectTimeout;
   client.idleTimeout = kIdleFor;
-  // Some targets end an answer by closing; one that is reset on the way fails all the same.
+  // Some targets end a response by closing the connection; a reset is still reported as a failure.
   client.acceptCloseDelimited = true;
   return client;
 }
--- a/src/shell/process_shell.cpp
+++ b/src/shell/process_shell.cpp
@@ -14,15 +14,15 @@
 
 constexpr Duration kDrainTimeout = std::chrono::seconds(10);
 constexpr Duration kFlushTimeout = std::chrono::seconds(2);
-/// A changed file is in force well within two seconds; reading its kilobyte costs some 20 us.
+/// Applies a changed file within two seconds; reading a file of about 1 KB takes about 20 us.
 constexpr Duration kSettingsWatchInterval = std::chrono::seconds(1);
 
-/// Short enough to tell a full link from a calm one while it lasts; a line costs some 20 us.
+/// Short enough to show bursts of traffic; writing one line takes about 20 us.
 constexpr Duration kTrafficInterval = std::chrono::seconds(5);
 
-/// Rises from life to life as long as the wall clock doesn't go back, and the random part keeps two
-/// lives apart when it does.
-Incarnation DrawIncarnation(std::mt19937_64& random)
+/// Increases with each start unless the wall clock is set back; in that case the random part makes
+/// a duplicate unlikely.
+Incarnation MakeIncarnation(std::mt19937_64& random)
 {
   constexpr std::uint64_t kRandomPart = 1024;
   const auto millis = static_cast<std::uint64_t>(WallNow());
@@ -43,7 +43,7 @@
   return mesh;
 }
 
-/// "" when it can't be read: the difference will be told by the reload.
+/// Returns "" if the file can't be read; the resulting reload reports the error.
 std::string ReadSettingsText(const std::string& file)
 {
   Result<std::string> text = ReadWholeFile(file);
@@ -64,7 +64,7 @@
 ProcessShell::ProcessShell(const ProcessSettings& settings)
   : m_settings(settings)
   , m_random(std::random_device{}())
-  , m_incarnation(DrawIncarnation(m_random))
+  , m_incarnation(MakeIncarnation(m_random))
   , m_logger(settings.process, settings.observe.logLevel, WallNow)
   , m_observer(settings, m_incarnation, { .wallMillis = WallNow, .sample = [this] {
                                            return SampleMetrics();
@@ -93,10 +93,10 @@
                      .errorBody = {} });
   BOOST_OUTCOME_TRY(m_http->Start());
   BOOST_OUTCOME_TRY(StartMetrics());
-  // One hook for all: each hook of a runtime is called for every signal that any of them named.
+  // A single hook, because each hook of a runtime is called for the signals of all hooks.
   m_runtime.OnSignals({ SIGTERM, SIGINT, SIGHUP }, [this](int number) { OnSignal(number); });
   m_settingsText = ReadSettingsText(m_settings.file);
-  m_runtime.Spawn([this] { RunSlowWork(); });
+  m_runtime.Spawn([this] { RunPeriodicTasks(); });
   Record(MakeEvent(EventNumber::kProcessStarted,
                    { { "role", ToString(m_settings.role) },
                      { "incarnation", std::to_string(m_incarnation.Get()) },
@@ -174,8 +174,8 @@
   return RoleHooks{ .random = [this] { return m_random(); }, .wallMillis = WallNow };
 }
 
-// One fiber for both: a stack for each of them is most of what they cost.
-void ProcessShell::RunSlowWork()
+// Both tasks share one fiber, because its stack is most of their cost.
+void ProcessShell::RunPeriodicTasks()
 {
   while (!m_finished) {
     m_runtime.SleepFor(kSettingsWatchInterval);
@@ -186,7 +186,7 @@
   }
 }
 
-// The file may change without a signal.
+// Reloads a changed settings file without a SIGHUP.
 void ProcessShell::WatchSettings()
 {
   if (ReadSettingsText(m_settings.file) != m_settingsText) {
@@ -199,11 +199,11 @@
   const TimePoint now = BootNow();
   if (now >= m_nextTraffic) {
     m_nextTraffic = now + kTrafficInterval;
-    Record(m_traffic.Take(now, m_mesh->Counters(), m_mesh->MostQueuedBytes()));
+    Record(m_traffic.MakeReport(now, m_mesh->Counters(), m_mesh->MostQueuedBytes()));
   }
 }
 
-// A bad file is told and left alone: what is in force stays.
+// An invalid file is reported and ignored; the current settings stay in effect.
 void ProcessShell::Reload(const char* cause)
 {
   m_settingsText = ReadSettingsText(m_settings.file);
@@ -228,7 +228,7 @@
     return;
   }
   if (m_stopping) {
-    // The operator's only hard stop: whatever is still in flight is cut.
+    // A second signal is the operator's way to force an immediate exit; requests are aborted.
     Record(MakeEvent(EventNumber::kProcessAborted));
     std::_Exit(EXIT_FAILURE);
   }
@@ -238,7 +238,7 @@
 
 void ProcessShell::OnRequest(HttpRequestIn request)
 {
-  // Beside a metrics listener of its own, the process serves nothing but its callers here.
+  // With a separate metrics listener, this listener serves callers only.
   if (m_metricsHttp) {
     m_observer.OnCallerRequest(BootNow(), request);
     m_hooks.onRequest(std::move(request));
@@ -299,7 +299,7 @@
   sample.peerBytesSent = peers.bytesSent;
   sample.peerBytesReceived = peers.bytesReceived;
   sample.peerQueuedBytes = m_mesh->MostQueuedBytes();
-  sample.peerKinds = ListKinds(peers);
+  sample.peerKinds = TotalsByKind(peers);
   sample.httpRequests = m_http->Counters().requests;
   sample.httpRejected = m_http->Counters().rejected;
   sample.httpInFlight = m_http->PendingExchanges();
--- a/src/shell/process_shell.hpp
+++ b/src/shell/process_shell.hpp
@@ -18,7 +18,7 @@
 
 namespace gooseberrysail::impl {
 
-/// \brief What one process does with what its sockets deliver.
+/// \brief Callbacks for network input, signals and settings changes of one process.
 struct ShellHooks
 {
   std::function<void(PeerUp)> onUp;
@@ -26,28 +26,28 @@
   std::function<void(FrameIn)> onFrame;
   std::function<void(HttpRequestIn)> onRequest;
   std::function<void(HttpCallerGone)> onCallerGone;
-  std::function<void()> onStop; ///< The first SIGTERM or SIGINT; a second one ends the process.
-  /// \brief The settings file changed and is good; may be empty.
+  std::function<void()> onStop; ///< First SIGTERM or SIGINT; a second one exits.
+  /// \brief Called with the new settings after a valid reload; may be empty.
   std::function<void(const ProcessSettings&)> onReload = {};
 };
 
-/// \brief What every role has around it: fibers, peers, an HTTP listener, events, random numbers.
+/// \brief The environment of a role: fibers, peers, HTTP listener, events and random numbers.
 class ProcessShell
 {
 public:
   explicit ProcessShell(const ProcessSettings& settings);
 
-  /// \brief Opens both listeners.
+  /// \brief Opens the listeners and starts the signal handling and periodic tasks.
   [[nodiscard]] Result<void> Start(ShellHooks hooks);
 
-  /// \brief Takes no more connections and calls `drained` once every caller has its answer.
-  /// \remarks The role's loop must go on meanwhile: it answers requests that had already arrived.
+  /// \brief Stops accepting and calls `drained` after the last response or a timeout.
+  /// \remarks The role's loop must keep running to answer requests that have already arrived.
   void DrainCallers(std::function<void()> drained);
 
-  /// \brief Lets peers take what is queued, then ends Run.
+  /// \brief Flushes the queues of peers, closes all connections and ends Run.
   void Finish();
 
-  /// \brief Logs an event and keeps it for the time line.
+  /// \brief Logs an event and passes it to the observer.
   void Record(const EventOut& event);
 
   /// \brief Logs a failure that ends the process.
@@ -56,10 +56,10 @@
   void Send(const FrameOut& frame);
   void Send(HttpAnswerOut answer);
 
-  /// \brief What waits to be sent to the peer, in bytes.
+  /// \brief Number of unsent bytes queued for the peer.
   [[nodiscard]] std::size_t QueuedBytes(const ProcessId& peer) const;
 
-  /// \brief Runs one tick of the role and counts the time it took.
+  /// \brief Runs one tick of the role and records its duration.
   template<class Tick>
   void RunTick(Tick&& tick)
   {
@@ -68,7 +68,7 @@
     m_observer.OnTick(BootNow() - before);
   }
 
-  /// \brief For the metrics; control only.
+  /// \brief Updates the replication metrics; control processes only.
   void OnReplication(const ReplicationStatus& status) { m_observer.OnReplication(status); }
 
   [[nodiscard]] IoRuntime& Runtime() noexcept { return m_runtime; }
@@ -79,7 +79,7 @@
 
 private:
   void OnSignal(int number);
-  void RunSlowWork();
+  void RunPeriodicTasks();
   void WatchSettings();
   void ReportTraffic();
   void Reload(const char* cause);
@@ -99,7 +99,7 @@
   ShellHooks m_hooks;
   std::unique_ptr<PeerMesh> m_mesh;
   std::unique_ptr<HttpServer> m_http;
-  std::unique_ptr<HttpServer> m_metricsHttp; ///< Null where metrics are served at m_http.
+  std::unique_ptr<HttpServer> m_metricsHttp; ///< Null if m_http serves the metrics.
   bool m_stopping = false;
   bool m_finished = false;
   std::string m_settingsText; ///< As last read.
@@ -107,24 +107,24 @@
   TimePoint m_nextTraffic{};
 };
 
-/// \brief The control processes of the settings, as the roles take them.
+/// \brief Converts the control processes of the settings for the roles.
 [[nodiscard]] std::vector<EntrySettings::Control> ControlsOf(const ProcessSettings& settings);
 
-/// \brief The page that tells that the process lives; 404 for any other path.
+/// \brief Answers the health check; 404 for any other path.
 [[nodiscard]] HttpAnswerOut AnswerHealth(const HttpRequestIn& request);
 
-/// \brief Where peers reach this process.
+/// \brief The address at which peers reach this process.
 [[nodiscard]] std::string AnnouncedAddress(const ProcessSettings& settings);
 
-/// \brief Calls the handler made for the alternative that `value` holds.
+/// \brief Combines handlers into one visitor for std::visit.
 template<class... Handlers>
 struct Overloaded : Handlers...
 {
   using Handlers::operator()...;
 };
 
-/// C++20 deduces this for an aggregate by itself, but older Clang (seen with 14) does not, and the
-/// linter is built on it: without the guide it stops at the first use.
+/// C++20 deduces this implicitly, but Clang 14 does not, and a linter built on it fails without the
+/// guide.
 template<class... Handlers>
 Overloaded(Handlers...) -> Overloaded<Handlers...>;
 
--- a/src/shell/traffic_report.cpp
+++ b/src/shell/traffic_report.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// A line names the kinds that matter; metrics have them all.
-constexpr std::size_t kMostKinds = 6;
+/// A report lists only the largest kinds; the metrics contain all.
+constexpr std::size_t kMaxListedKinds = 6;
 
 struct KindCount
 {
@@ -23,19 +23,19 @@
   return wire::EnumNameBody(static_cast<wire::Body>(kind));
 }
 
-std::string Describe(const FrameCounts& now, const FrameCounts& former)
+std::string Describe(const FrameCounts& now, const FrameCounts& previous)
 {
   std::vector<KindCount> kinds;
   for (std::size_t kind = 0; kind < now.size(); ++kind) {
-    const FrameCount count{ now[kind].frames - former[kind].frames,
-                            now[kind].bytes - former[kind].bytes };
+    const FrameCount count{ now[kind].frames - previous[kind].frames,
+                            now[kind].bytes - previous[kind].bytes };
     if (count.frames != 0) {
       kinds.push_back({ KindName(kind), count });
     }
   }
   std::ranges::sort(
     kinds, std::ranges::greater{}, [](const auto& kind) { return kind.count.bytes; });
-  kinds.resize(std::min(kinds.size(), kMostKinds));
+  kinds.resize(std::min(kinds.size(), kMaxListedKinds));
   std::string text;
   for (const KindCount& kind : kinds) {
     text += text.empty() ? "" : ",";
@@ -47,9 +47,9 @@
 
 } // namespace
 
-EventOut TrafficReport::Take(TimePoint now,
-                             const PeerMeshCounters& counters,
-                             std::size_t mostQueued)
+EventOut TrafficReport::MakeReport(TimePoint now,
+                                   const PeerMeshCounters& counters,
+                                   std::size_t mostQueued)
 {
   const Duration since = m_at == TimePoint{} ? Duration::zero() : now - m_at;
   EventOut event =
@@ -65,7 +65,7 @@
   return event;
 }
 
-std::vector<KindTraffic> ListKinds(const PeerMeshCounters& counters)
+std::vector<KindTraffic> TotalsByKind(const PeerMeshCounters& counters)
 {
   std::vector<KindTraffic> kinds;
   for (std::size_t kind = 0; kind < counters.sentByKind.size(); ++kind) {
--- a/src/shell/traffic_report.hpp
+++ b/src/shell/traffic_report.hpp
@@ -8,14 +8,14 @@
 
 namespace gooseberrysail::impl {
 
-/// \brief Tells what passed between a process and its peers, by kind of message.
+/// \brief Reports the traffic between a process and its peers by message type.
 class TrafficReport
 {
 public:
-  /// \brief The event for what was counted since the last call.
-  [[nodiscard]] EventOut Take(TimePoint now,
-                              const PeerMeshCounters& counters,
-                              std::size_t mostQueued);
+  /// \brief Returns an event with the traffic since the previous call.
+  [[nodiscard]] EventOut MakeReport(TimePoint now,
+                                    const PeerMeshCounters& counters,
+                                    std::size_t mostQueued);
 
 private:
   FrameCounts m_sent{};
@@ -23,7 +23,7 @@
   TimePoint m_at{};
 };
 
-/// \brief Totals by kind of message, of those that were sent or received.
-[[nodiscard]] std::vector<KindTraffic> ListKinds(const PeerMeshCounters& counters);
+/// \brief Totals of all message types that were sent or received.
+[[nodiscard]] std::vector<KindTraffic> TotalsByKind(const PeerMeshCounters& counters);
 
 } // namespace gooseberrysail::impl
--- a/tests/fakes/relay.cpp
+++ b/tests/fakes/relay.cpp
@@ -27,8 +27,8 @@
 
   tcp::socket caller;
   tcp::socket target;
-  bool swallowToTarget = false;
-  bool swallowToCaller = false;
+  bool dropToTarget = false;
+  bool dropToCaller = false;
 };
 
 void Reset(tcp::socket& socket)
@@ -88,18 +88,18 @@
     }
     link->caller.set_option(tcp::no_delay(true), ignored);
     link->target.set_option(tcp::no_delay(true), ignored);
-    Spawn([this, link] { Pump(link->caller, link->target, link->swallowToTarget); });
-    Spawn([this, link] { Pump(link->target, link->caller, link->swallowToCaller); });
+    Spawn([this, link] { Pump(link->caller, link->target, link->dropToTarget); });
+    Spawn([this, link] { Pump(link->target, link->caller, link->dropToCaller); });
   }
 
-  void Pump(tcp::socket& from, tcp::socket& to, const bool& swallow)
+  void Pump(tcp::socket& from, tcp::socket& to, const bool& drop)
   {
     std::array<char, kPieceBytes> piece{};
     for (;;) {
       const auto [error, size] =
         Await([&](auto done) { from.async_read_some(boost::asio::buffer(piece), done); });
       if (error) {
-        if (!swallow) {
+        if (!drop) {
           boost::system::error_code ignored;
           to.shutdown(tcp::socket::shutdown_send, ignored);
         }
@@ -108,7 +108,7 @@
       if (delay > Duration::zero()) {
         runtime.SleepFor(delay);
       }
-      if (swallow) {
+      if (drop) {
         continue;
       }
       const auto [failed, written] = Await([&, count = size](auto done) {
@@ -160,8 +160,8 @@
 void Relay::BlackholeExisting(Direction what)
 {
   for (const auto& link : m_impl->links) {
-    link->swallowToTarget = link->swallowToTarget || what != Direction::kToCaller;
-    link->swallowToCaller = link->swallowToCaller || what != Direction::kToTarget;
+    link->dropToTarget = link->dropToTarget || what != Direction::kToCaller;
+    link->dropToCaller = link->dropToCaller || what != Direction::kToTarget;
   }
 }
 
--- a/tests/fakes/relay.hpp
+++ b/tests/fakes/relay.hpp
@@ -9,12 +9,12 @@
 
 namespace gooseberrysail::fakes {
 
-/// \brief A TCP relay that fails like a network: it loses track of open connections, cuts them or
-/// delays them, while new ones may work.
+/// \brief A TCP relay that simulates network faults: it can drop the bytes of open connections,
+/// reset or delay them, and refuse new ones.
 class Relay
 {
 public:
-  /// \brief Which bytes an established connection loses from now on.
+  /// \brief The direction in which bytes are dropped.
   enum class Direction
   {
     kToTarget,
@@ -30,20 +30,20 @@
   [[nodiscard]] Result<void> Start();
   [[nodiscard]] std::string ListenAddress() const;
 
-  /// \brief The connections open now lose these bytes for good, without being closed; the ends of
-  /// them that one side closes are lost as well. New connections work.
+  /// \brief Drops all further bytes of the open connections in the given direction, and also the
+  /// end of stream when one side closes. The connections stay open; new connections work.
   void BlackholeExisting(Direction what);
 
   /// \brief Resets every open connection.
   void ResetExisting();
 
-  /// \brief New connections are accepted and closed at once.
+  /// \brief Sets whether new connections are closed right after they are accepted.
   void RefuseNew(bool refuse);
 
-  /// \brief Holds each piece back for this long, in order.
+  /// \brief Delays all forwarded bytes by this duration; their order is kept.
   void SetDelay(Duration delay);
 
-  /// \brief Connections relayed since the start.
+  /// \brief Number of connections accepted for relaying.
   [[nodiscard]] std::size_t Accepted() const noexcept;
 
   void Close();
--- a/tests/support/http_call.cpp
+++ b/tests/support/http_call.cpp
@@ -37,7 +37,7 @@
   return request;
 }
 
-/// Runs one asynchronous step to its end; the stream's own timer bounds it.
+/// Runs one asynchronous operation to completion; the stream's timer limits it.
 template<class Start>
 beast::error_code Step(boost::asio::io_context& io, Start&& start)
 {
@@ -74,7 +74,7 @@
   boost::asio::io_context io;
   beast::tcp_stream stream{ io };
   beast::flat_buffer buffer;
-  std::string address; ///< Connected to; "" when not.
+  std::string address; ///< The connected address; "" if none.
 
   beast::error_code Connect(const HttpCall& call)
   {
--- a/tests/support/http_call.hpp
+++ b/tests/support/http_call.hpp
@@ -13,10 +13,10 @@
 
 struct HttpReply
 {
-  unsigned status = 0; ///< 0: no answer, see `failure`.
+  unsigned status = 0; ///< 0 if there is no response; see `failure`.
   Headers headers;
   std::string body;
-  bool whole = false; ///< The answer ended as HTTP says it must.
+  bool whole = false; ///< The response is complete according to HTTP.
   std::string failure;
 
   [[nodiscard]] std::string Header(std::string_view name) const;
@@ -30,11 +30,11 @@
   Headers headers = {};
   std::string body = {};
   std::chrono::milliseconds timeout{ 30'000 };
-  /// \brief Called with all of the body that arrived so far, each time more arrives.
+  /// \brief Called with the body received so far, each time more of it arrives.
   std::function<void(const std::string& soFar)> onBody = {};
 };
 
-/// \brief One blocking call on a connection of its own, through Beast.
+/// \brief Makes a blocking call on a new connection.
 [[nodiscard]] HttpReply Call(const HttpCall& call);
 
 } // namespace gooseberrysail::test
--- a/tests/support/http_exchange.hpp
+++ b/tests/support/http_exchange.hpp
@@ -12,7 +12,7 @@
 
 namespace gooseberrysail::tests {
 
-/// \brief A server that notes what its hooks are told and answers only as the test says.
+/// \brief A server that records its hook calls; the test sends the responses.
 class RecordingServer
 {
 public:
@@ -87,7 +87,7 @@
   }
 };
 
-/// \brief A client that notes what its hooks are told.
+/// \brief A client that records its hook calls.
 class RecordingClient
 {
 public:
--- a/tests/support/kept_connection.hpp
+++ b/tests/support/kept_connection.hpp
@@ -6,7 +6,7 @@
 
 namespace gooseberrysail::test {
 
-/// \brief Calls over one connection for as long as it stands, as callers with keep-alive make them.
+/// \brief Makes calls over one keep-alive connection as long as it stays open.
 class KeptConnection
 {
 public:
@@ -15,8 +15,8 @@
   KeptConnection(const KeptConnection&) = delete;
   KeptConnection& operator=(const KeptConnection&) = delete;
 
-  /// \brief Blocks until the answer is whole, the time is over or the connection breaks. A call to
-  /// another address than the last one's opens a new connection; a call is never sent twice.
+  /// \brief Blocks until the response is complete, the timeout expires or the connection fails. A
+  /// call to a different address opens a new connection. Calls are never retried.
   [[nodiscard]] HttpReply Call(const HttpCall& call);
 
 private:
--- a/tests/support/mesh_process.hpp
+++ b/tests/support/mesh_process.hpp
@@ -13,13 +13,14 @@
 
 namespace gooseberrysail::tests {
 
-/// \brief Long enough for anything on loopback on a busy machine; reached only on failure.
-inline constexpr Duration kPatience = std::chrono::seconds(20);
+/// \brief Ample for loopback on a busy machine; only reached when a test fails.
+inline constexpr Duration kTestTimeout = std::chrono::seconds(20);
 
-/// \brief Looks at `condition` after each notification of `changed` until it holds.
+/// \brief Checks `condition` after each notification of `changed`, until it holds or the timeout
+/// expires.
 inline bool WaitUntil(Signal& changed, const std::function<bool()>& condition)
 {
-  const TimePoint until = BootNow() + kPatience;
+  const TimePoint until = BootNow() + kTestTimeout;
   while (!condition()) {
     const TimePoint now = BootNow();
     if (now >= until) {
@@ -30,7 +31,7 @@
   return true;
 }
 
-/// \brief One process's mesh, and a diary of all that its hooks were told.
+/// \brief The mesh of one process, with a record of its hook calls.
 class MeshProcess
 {
 public:
@@ -52,15 +53,15 @@
 
   bool WaitFor(const std::function<bool()>& condition) { return WaitUntil(changed, condition); }
 
-  bool WaitForTransition(const std::string& step, std::size_t times = 1)
+  bool WaitForTransition(const std::string& transition, std::size_t times = 1)
   {
-    return WaitFor([&] { return Steps(step) >= times; });
+    return WaitFor([&] { return TransitionCount(transition) >= times; });
   }
 
-  /// \brief How often `up NAME` or `down NAME` was noted.
-  [[nodiscard]] std::size_t Steps(const std::string& step) const
+  /// \brief How often the transition (`up NAME` or `down NAME`) occurred.
+  [[nodiscard]] std::size_t TransitionCount(const std::string& transition) const
   {
-    return static_cast<std::size_t>(std::count(diary.begin(), diary.end(), step));
+    return static_cast<std::size_t>(std::count(transitions.begin(), transitions.end(), transition));
   }
 
   [[nodiscard]] std::vector<EventOut> Events(EventNumber number) const
@@ -75,8 +76,8 @@
 
   ProcessId name;
   bool started = false;
-  std::vector<std::string> diary;
-  std::vector<std::uint64_t> numbers; ///< Of the frames received, in order.
+  std::vector<std::string> transitions;
+  std::vector<std::uint64_t> numbers; ///< Of the received frames, in order; 0 for other types.
   std::vector<PeerDown> downs;
   std::vector<PeerUp> ups;
   std::vector<EventOut> events;
@@ -104,12 +105,12 @@
   {
     PeerMeshHooks hooks;
     hooks.onUp = [this](PeerUp up) {
-      diary.push_back("up " + up.peer.Get());
+      transitions.push_back("up " + up.peer.Get());
       ups.push_back(std::move(up));
       changed.Notify();
     };
     hooks.onDown = [this](PeerDown down) {
-      diary.push_back("down " + down.peer.Get());
+      transitions.push_back("down " + down.peer.Get());
       downs.push_back(std::move(down));
       changed.Notify();
     };
@@ -127,7 +128,7 @@
   }
 };
 
-/// \brief The value of a field of an event; "" when absent.
+/// \brief The value of a field of an event; "" if absent.
 inline std::string Field(const EventOut& event, const std::string& name)
 {
   for (const auto& [key, value] : event.fields) {
--- a/tests/support/raw_connection.hpp
+++ b/tests/support/raw_connection.hpp
@@ -13,7 +13,7 @@
 
 namespace gooseberrysail::tests {
 
-/// \brief A plain TCP connection that sends and shows bytes as they are.
+/// \brief A TCP connection that sends and receives raw bytes.
 class RawConnection
 {
 public:
@@ -33,7 +33,7 @@
     return !error;
   }
 
-  /// \brief Reads until `text` arrived; false when the connection ended first.
+  /// \brief Reads until `text` arrives; false if the connection ends first.
   bool ReadUntil(std::string_view text)
   {
     while (received.find(text) == std::string::npos) {
@@ -44,7 +44,7 @@
     return true;
   }
 
-  /// \brief Reads until at least `size` bytes arrived.
+  /// \brief Reads until at least `size` bytes have arrived; false if the connection ends first.
   bool ReadSize(std::size_t size)
   {
     while (received.size() < size) {
@@ -55,7 +55,7 @@
     return true;
   }
 
-  /// \returns All that arrived until the connection ended.
+  /// \returns All bytes received until the connection ended.
   const std::string& ReadToEnd()
   {
     while (ReadSome()) {
@@ -84,8 +84,8 @@
   }
 };
 
-/// \brief A server that gives each connection the same bytes after the first it receives, and
-/// closes.
+/// \brief A server that answers the first bytes of each connection with the same bytes, then closes
+/// it.
 class RawServer
 {
 public:
--- a/tests/support/relay_thread.cpp
+++ b/tests/support/relay_thread.cpp
@@ -23,20 +23,20 @@
 
 void RelayThread::BlackholeExisting()
 {
-  Do([](fakes::Relay& relay) { relay.BlackholeExisting(fakes::Relay::Direction::kBoth); });
+  RunOnThread([](fakes::Relay& relay) { relay.BlackholeExisting(fakes::Relay::Direction::kBoth); });
 }
 
 void RelayThread::ResetExisting()
 {
-  Do([](fakes::Relay& relay) { relay.ResetExisting(); });
+  RunOnThread([](fakes::Relay& relay) { relay.ResetExisting(); });
 }
 
 void RelayThread::SetDelay(Duration delay)
 {
-  Do([delay](fakes::Relay& relay) { relay.SetDelay(delay); });
+  RunOnThread([delay](fakes::Relay& relay) { relay.SetDelay(delay); });
 }
 
-void RelayThread::Do(const std::function<void(fakes::Relay&)>& step)
+void RelayThread::RunOnThread(const std::function<void(fakes::Relay&)>& step)
 {
   std::promise<void> done;
   boost::asio::post(m_runtime->Io(), [&] {
--- a/tests/support/relay_thread.hpp
+++ b/tests/support/relay_thread.hpp
@@ -8,7 +8,7 @@
 
 namespace gooseberrysail::test {
 
-/// \brief A relay on a thread of its own, so that blocking code can stand beside it.
+/// \brief Runs a relay on a thread of its own, for tests with blocking code.
 class RelayThread
 {
 public:
@@ -19,7 +19,7 @@
 
   [[nodiscard]] const std::string& Address() const { return m_address; }
 
-  /// \brief The connections open now lose all bytes from now on; new ones work.
+  /// \brief Drops all further bytes of the open connections; new connections work.
   void BlackholeExisting();
   /// \brief Resets every open connection.
   void ResetExisting();
@@ -27,7 +27,7 @@
 
 private:
   void Serve(const std::string& target, const std::function<void(std::string)>& started);
-  void Do(const std::function<void(fakes::Relay&)>& step);
+  void RunOnThread(const std::function<void(fakes::Relay&)>& step);
 
   std::thread m_thread;
   std::string m_address;
--- a/tests/unit/frame_codec_test.cpp
+++ b/tests/unit/frame_codec_test.cpp
@@ -40,7 +40,7 @@
   }
 }
 
-TEST(FrameCodec, CutsAStreamIntoFramesWhereverItIsSplit)
+TEST(FrameCodec, ParsesFramesWhereverTheStreamIsSplit)
 {
   std::vector<std::uint8_t> stream;
   for (std::uint64_t number = 1; number <= 5; ++number) {
@@ -59,7 +59,7 @@
   }
 }
 
-TEST(FrameCodec, RefusesAFrameOverTheLimitBeforeItsBytesArrive)
+TEST(FrameCodec, RejectsAFrameOverTheLimitBeforeItsBytesArrive)
 {
   FrameReader reader(100);
   Feed(reader, std::vector<std::uint8_t>{ 101, 0, 0, 0 });
@@ -77,7 +77,7 @@
   }
 }
 
-TEST(FrameCodec, RefusesAFrameOfNoBytes)
+TEST(FrameCodec, RejectsAnEmptyFrame)
 {
   FrameReader reader(100);
   Feed(reader, std::vector<std::uint8_t>{ 0, 0, 0, 0 });
@@ -86,9 +86,9 @@
   EXPECT_EQ(frame.error().code, ErrorCode::kCorrupt);
 }
 
-// Symptom: a stranger makes the process allocate gigabytes with a few small packets.
-// Cause: memory taken for the length that a prefix claims instead of for the bytes that came.
-TEST(FrameCodec, GrowsWithWhatArrivedNotWithWhatIsClaimed)
+// Guards against memory exhaustion by a few small packets: the buffer must grow with the received
+// bytes, not to the size in the length prefix.
+TEST(FrameCodec, BufferGrowsWithReceivedBytesNotWithTheLengthPrefix)
 {
   FrameReader reader(kMaxFrameBytes);
   Feed(reader, std::vector<std::uint8_t>{ 0, 0, 0xff, 0 });
@@ -96,7 +96,7 @@
   EXPECT_LE(reader.Prepare().size(), 64U * 1024U);
 }
 
-TEST(FrameCodec, EveryDamagedByteIsRefusedOrDecodedButNeverReadOutside)
+TEST(FrameCodec, ADamagedFrameIsRejectedOrDecodedWithoutReadingOutOfBounds)
 {
   const auto frame = NumberFrame(77);
   for (std::size_t at = kFramePrefixBytes; at < frame.size(); ++at) {
@@ -113,7 +113,7 @@
   }
 }
 
-/// What control tells an entry: text, numbers, tables in a list.
+/// A message with text, numbers and a list of tables.
 wire::ServingStateT FullState()
 {
   wire::ServingStateT state;
@@ -129,13 +129,12 @@
   return state;
 }
 
-// Symptom: a process ends, or reads what is not its own, on a frame from a broken or hostile peer.
-// Sequence: bytes of a frame are changed, and the frame still has the length that it claims.
-// Cause: offsets within a frame that are followed before they are checked.
-TEST(FrameCodec, FramesStandMutatedBytes)
+// Guards against crashes and out-of-bounds reads on a frame of correct length from a faulty or
+// hostile peer: offsets in a frame must be verified before they are followed.
+TEST(FrameCodec, MutatedFramesAreHandledSafely)
 {
   const std::vector<std::uint8_t> whole = EncodeFrame(*MakeEnvelope(FullState()));
-  constexpr std::size_t kLength = 4; ///< The length prefix stays, so that the frame is complete.
+  constexpr std::size_t kLength = 4; ///< The prefix is not mutated, so the frame is complete.
   std::mt19937 random(13);
   for (int round = test::FuzzRounds(); round > 0; --round) {
     std::vector<std::uint8_t> frame = whole;
--- a/tests/unit/handshake_test.cpp
+++ b/tests/unit/handshake_test.cpp
@@ -16,23 +16,23 @@
   return hello;
 }
 
-TEST(Handshake, AProofHoldsForItsKeySideAndHellosOnly)
+TEST(Handshake, AProofIsValidForItsKeySideAndHellosOnly)
 {
   const wire::HelloT dialler = MakeHello("entry-1", 1);
   const wire::HelloT acceptor = MakeHello("agent-1", 2);
   const Proof proof = MakeProof("key", ProofSide::kDialler, dialler, acceptor);
-  EXPECT_TRUE(IsProof(MakeProof("key", ProofSide::kDialler, dialler, acceptor), proof));
+  EXPECT_TRUE(ProofMatches(MakeProof("key", ProofSide::kDialler, dialler, acceptor), proof));
 
   SECTION("another key")
   {
-    EXPECT_FALSE(IsProof(MakeProof("kez", ProofSide::kDialler, dialler, acceptor), proof));
+    EXPECT_FALSE(ProofMatches(MakeProof("kez", ProofSide::kDialler, dialler, acceptor), proof));
   }
   SECTION("echoed by the other side")
   {
-    EXPECT_FALSE(IsProof(MakeProof("key", ProofSide::kAcceptor, dialler, acceptor), proof));
-    EXPECT_FALSE(IsProof(MakeProof("key", ProofSide::kDialler, acceptor, dialler), proof));
+    EXPECT_FALSE(ProofMatches(MakeProof("key", ProofSide::kAcceptor, dialler, acceptor), proof));
+    EXPECT_FALSE(ProofMatches(MakeProof("key", ProofSide::kDialler, acceptor, dialler), proof));
   }
-  SECTION("replayed against a fresh nonce, or under another name, role or life")
+  SECTION("replayed with another nonce, name, role, incarnation or address")
   {
     for (int field = 0; field < 5; ++field) {
       wire::HelloT other = dialler;
@@ -41,24 +41,25 @@
       other.role += field == 2 ? "x" : "";
       other.incarnation += field == 3 ? 1 : 0;
       other.address += field == 4 ? "1" : "";
-      EXPECT_FALSE(IsProof(MakeProof("key", ProofSide::kDialler, other, acceptor), proof)) << field;
+      EXPECT_FALSE(ProofMatches(MakeProof("key", ProofSide::kDialler, other, acceptor), proof))
+        << field;
     }
   }
-  SECTION("a name that runs over into the role")
+  SECTION("characters shifted between name and role")
   {
     wire::HelloT shifted = dialler;
     shifted.process = "entry-1a";
     shifted.role = "gent";
-    EXPECT_FALSE(IsProof(MakeProof("key", ProofSide::kDialler, shifted, acceptor), proof));
+    EXPECT_FALSE(ProofMatches(MakeProof("key", ProofSide::kDialler, shifted, acceptor), proof));
   }
-  SECTION("cut short or empty")
+  SECTION("truncated or empty")
   {
-    EXPECT_FALSE(IsProof(proof, std::span(proof).first(31)));
-    EXPECT_FALSE(IsProof(proof, {}));
+    EXPECT_FALSE(ProofMatches(proof, std::span(proof).first(31)));
+    EXPECT_FALSE(ProofMatches(proof, {}));
   }
 }
 
-TEST(Handshake, AHelloThatCannotBeAPeersIsRefused)
+TEST(Handshake, AnInvalidHelloIsRefused)
 {
   const wire::HelloT own = MakeHello("entry-1", 1);
   EXPECT_TRUE(CheckHello(own, MakeHello("agent-1", 2), "10.0.0.9:1"));
@@ -83,7 +84,7 @@
   {
     EXPECT_EQ(codeFor(MakeHello("agent-1", 1)), ErrorCode::kInvalid);
   }
-  SECTION("a short nonce, no name, a name without end")
+  SECTION("a short nonce, no name, a name that is too long")
   {
     wire::HelloT hello = MakeHello("agent-1", 2);
     hello.nonce.pop_back();
--- a/tests/unit/http_client_test.cpp
+++ b/tests/unit/http_client_test.cpp
@@ -5,7 +5,7 @@
 namespace gooseberrysail {
 namespace {
 
-using tests::kPatience;
+using tests::kTestTimeout;
 using tests::RawServer;
 using tests::RecordingClient;
 using tests::RecordingServer;
@@ -39,7 +39,7 @@
   target.onRequest = [&](const HttpRequestIn& request) { target.Send(request, "ok", true); };
   HttpClient client(runtime, {});
   for (int i = 0; i < 3; ++i) {
-    const auto reply = client.Fetch(target.address, "GET", "/", {}, "", kPatience);
+    const auto reply = client.Fetch(target.address, "GET", "/", {}, "", kTestTimeout);
     ASSERT_TRUE(reply) << reply.error();
     EXPECT_EQ(reply.value().status, 200U);
     EXPECT_EQ(reply.value().body, "ok");
@@ -47,7 +47,7 @@
   EXPECT_EQ(target.server.Counters().connections, 1U);
 }
 
-// Symptom: half an answer is handed on as a whole one.
+// Guards against passing on an incomplete response as a complete one.
 TEST(HttpClient, AnAnswerThatEndsTooEarlyFails)
 {
   const std::vector<std::pair<std::string, std::string>> cases{
@@ -58,7 +58,7 @@
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n8\r\nhalf" },
     { "in its headers", "HTTP/1.1 200 OK\r\nContent-Le" },
     { "before its first byte", "" },
-    { "or that nobody can tell whole from cut", "HTTP/1.1 200 OK\r\n\r\nhalf" },
+    { "without length or chunks, where the end is ambiguous", "HTTP/1.1 200 OK\r\n\r\nhalf" },
   };
   for (const auto& [name, bytes] : cases) {
     SECTION(name)
@@ -76,18 +76,18 @@
   }
 }
 
-TEST(HttpClient, SkipsAnAnnouncementBeforeTheAnswer)
+TEST(HttpClient, SkipsAnInformationalResponse)
 {
   IoRuntime runtime;
   RawServer target(
     runtime, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 201 Created\r\nContent-Length: 2\r\n\r\nok");
   HttpClient client(runtime, {});
-  const auto reply = client.Fetch(target.address, "GET", "/", {}, "", kPatience);
+  const auto reply = client.Fetch(target.address, "GET", "/", {}, "", kTestTimeout);
   ASSERT_TRUE(reply) << reply.error();
   EXPECT_EQ(reply.value().status, 201U);
 }
 
-TEST(HttpClient, SaysNeverSentOnlyWhenNoByteLeft)
+TEST(HttpClient, ReportsNeverSentOnlyWhenNoByteWasSent)
 {
   IoRuntime runtime;
   SECTION("nobody listens")
@@ -107,12 +107,13 @@
   {
     RecordingServer target(runtime);
     HttpClient client(runtime, {});
-    const auto reply = client.Fetch(target.address, "GET", "/ HTTP/1.1\r\nX: y", {}, "", kPatience);
+    const auto reply =
+      client.Fetch(target.address, "GET", "/ HTTP/1.1\r\nX: y", {}, "", kTestTimeout);
     ASSERT_FALSE(reply);
     EXPECT_EQ(reply.error().code, ErrorCode::kInvalid);
     EXPECT_TRUE(target.requests.empty());
   }
-  SECTION("the target got the request and says nothing")
+  SECTION("the target received the request and does not answer")
   {
     RecordingServer target(runtime);
     RecordingClient agent(runtime);
@@ -120,7 +121,7 @@
     ASSERT_TRUE(agent.WaitFor([&] { return !agent.failures.empty(); }));
     EXPECT_FALSE(agent.failures[0].neverSent);
     EXPECT_EQ(agent.failures[0].error.code, ErrorCode::kTimeout);
-    SECTION("and sees its caller gone")
+    SECTION("the target detects the disconnect")
     {
       EXPECT_TRUE(target.WaitFor([&] { return target.gone.size() == 1; }));
     }
@@ -165,7 +166,7 @@
   HttpClientSettings settings;
   settings.maxFetchedBytes = 4000;
   HttpClient client(runtime, settings);
-  const auto reply = client.Fetch(target.address, "GET", "/", {}, "", kPatience);
+  const auto reply = client.Fetch(target.address, "GET", "/", {}, "", kTestTimeout);
   ASSERT_FALSE(reply);
   EXPECT_EQ(reply.error().code, ErrorCode::kTooLarge);
 }
@@ -179,7 +180,7 @@
   };
   HttpClient client(runtime, {});
   const std::string body(5 * 1024 * 1024, 'b');
-  const auto reply = client.Fetch(target.address, "POST", "/", {}, body, kPatience);
+  const auto reply = client.Fetch(target.address, "POST", "/", {}, body, kTestTimeout);
   ASSERT_TRUE(reply) << reply.error();
   EXPECT_TRUE(reply.value().body == body);
 }
--- a/tests/unit/http_server_test.cpp
+++ b/tests/unit/http_server_test.cpp
@@ -5,7 +5,7 @@
 namespace gooseberrysail {
 namespace {
 
-using tests::kPatience;
+using tests::kTestTimeout;
 using tests::RawConnection;
 using tests::RecordingServer;
 
@@ -69,9 +69,9 @@
   EXPECT_EQ(server.server.PendingExchanges(), 0U);
 }
 
-// Symptom: a caller takes half an answer for a whole one.
-// Sequence: the engine dies in the middle of a stream; the answer is aborted.
-TEST(HttpServer, AnAbortedAnswerCannotLookWhole)
+// Guards against a caller taking an incomplete response for a complete one when the engine fails
+// in the middle of a stream and the response is aborted.
+TEST(HttpServer, AnAbortedResponseCannotLookComplete)
 {
   IoRuntime runtime;
   SECTION("chunked: the last chunk is missing")
@@ -108,7 +108,7 @@
   }
 }
 
-TEST(HttpServer, RefusesWhatIsMalformedOrTooLargeWithAJsonError)
+TEST(HttpServer, RejectsMalformedOrOversizedRequestsWithAJsonError)
 {
   struct Case
   {
@@ -126,13 +126,13 @@
     { "headers over the limit",
       "GET / HTTP/1.1\r\nX: " + std::string(2000, 'x') + "\r\n\r\n",
       "431 " },
-    { "headers without end over the limit",
+    { "unterminated headers over the limit",
       "GET / HTTP/1.1\r\nX: " + std::string(2000, 'x'),
       "431 " },
     { "a body announced over the limit",
       "POST / HTTP/1.1\r\nContent-Length: 2001\r\n\r\n" + std::string(2001, 'x'),
       "413 " },
-    { "a body announced over the limit that waits for a go-ahead",
+    { "a body announced over the limit with Expect: 100-continue",
       "POST / HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2001\r\n\r\n",
       "413 " },
     { "chunks over the limit",
@@ -160,7 +160,7 @@
   EXPECT_TRUE(server.requests.empty());
   EXPECT_EQ(server.server.Counters().rejected, cases.size());
 
-  SECTION("a body of exactly the limit is taken, after a go-ahead where one is asked for")
+  SECTION("a body of exactly the limit is accepted, after 100 Continue if requested")
   {
     RawConnection caller(runtime, server.address);
     caller.Write("POST / HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2000\r\n\r\n");
@@ -172,8 +172,8 @@
   }
 }
 
-// Symptom: engines work on for callers who gave up long ago.
-TEST(HttpServer, NoticesThatTheCallerLeftWhileItsAnswerIsPending)
+// Guards against engines that keep working for callers that have disconnected.
+TEST(HttpServer, DetectsADisconnectWhileTheResponseIsPending)
 {
   IoRuntime runtime;
   RecordingServer server(runtime);
@@ -223,8 +223,8 @@
   EXPECT_LT(caller.received.find("first"), caller.received.find("second"));
 }
 
-// Symptom: the process grows while a caller reads nothing of a long stream.
-TEST(HttpServer, CutsACallerWhoReadsTooSlowly)
+// Guards against unbounded memory use when a caller does not read a long stream.
+TEST(HttpServer, ClosesTheConnectionOfACallerThatReadsTooSlowly)
 {
   IoRuntime runtime;
   RecordingServer server(
@@ -245,7 +245,7 @@
   EXPECT_NE(caller.received.substr(caller.received.size() - 5), "0\r\n\r\n");
 }
 
-TEST(HttpServer, AGracefulStopCutsNoRequestInFlight)
+TEST(HttpServer, AGracefulStopAbortsNoRequestInFlight)
 {
   IoRuntime runtime;
   RecordingServer server(runtime);
@@ -267,19 +267,19 @@
     idle.ReadToEnd();
     EXPECT_FALSE(RawConnection(runtime, server.address).connected);
   }
-  SECTION("a request that was under way when the stop came is handed over still")
+  SECTION("a request that arrived before the stop is still served")
   {
     server.Send(server.Request(3), "served", true);
     ASSERT_TRUE(Contains(asking.ReadToEnd(), "served"));
     EXPECT_TRUE(Contains(asking.received, "Connection: close"));
   }
-  SECTION("the stream goes on to its end, and only then the server is drained")
+  SECTION("the server is drained only after the stream has ended")
   {
     EXPECT_FALSE(server.server.WaitDrained(std::chrono::milliseconds(20)));
     server.Send(request, "ended", true);
     ASSERT_TRUE(busy.ReadUntil("0\r\n\r\n"));
     busy.Close();
-    EXPECT_TRUE(server.server.WaitDrained(kPatience));
+    EXPECT_TRUE(server.server.WaitDrained(kTestTimeout));
   }
 }
 
@@ -298,9 +298,9 @@
   EXPECT_TRUE(server.requests.empty());
 }
 
-// Symptom: an answer with forged headers or a second, made-up answer behind it.
-// Cause: a target's header value that holds a line break.
-TEST(HttpServer, DropsHeadersThatWouldForgeOthers)
+// Guards against header injection and response splitting by a line break in a header value of a
+// target.
+TEST(HttpServer, DropsHeadersThatWouldInjectOthers)
 {
   IoRuntime runtime;
   RecordingServer server(runtime);
--- a/tests/unit/peer_mesh_test.cpp
+++ b/tests/unit/peer_mesh_test.cpp
@@ -13,12 +13,12 @@
 using tests::Field;
 using tests::MeshProcess;
 
-constexpr Duration kSilence = std::chrono::milliseconds(800);
+constexpr Duration kSilenceTimeout = std::chrono::milliseconds(800);
 
 void QuickHeartbeats(PeerMeshSettings& settings)
 {
-  settings.heartbeatInterval = kSilence / 4;
-  settings.silenceTimeout = kSilence;
+  settings.heartbeatInterval = kSilenceTimeout / 4;
+  settings.silenceTimeout = kSilenceTimeout;
 }
 
 std::vector<std::uint64_t> UpTo(std::uint64_t last)
@@ -63,9 +63,8 @@
   }
 }
 
-// Symptom: frames lost and connections replaced right after two processes meet.
-// Sequence: both dial each other at one moment; each side keeps one connection and closes the
-// other. Cause: without a common rule each keeps the one that the other closes.
+// Guards against lost frames and replaced connections when two processes dial each other at the
+// same time: without a common rule, each side keeps the connection that the other closes.
 TEST(PeerMesh, TwoThatDialEachOtherAgreeOnOneConnection)
 {
   IoRuntime runtime;
@@ -80,20 +79,19 @@
     ASSERT_TRUE(right.WaitFor([&] { return right.numbers.size() >= 100; }));
     EXPECT_EQ(left.numbers, UpTo(100));
     EXPECT_EQ(right.numbers, UpTo(100));
-    EXPECT_EQ(left.diary, std::vector<std::string>{ "up control-2" });
-    EXPECT_EQ(right.diary, std::vector<std::string>{ "up control-1" });
+    EXPECT_EQ(left.transitions, std::vector<std::string>{ "up control-2" });
+    EXPECT_EQ(right.transitions, std::vector<std::string>{ "up control-1" });
     EXPECT_EQ(left.mesh.ConnectionCount(), 1U);
     EXPECT_EQ(right.mesh.ConnectionCount(), 1U);
   }
 }
 
-// Symptom: requests wait for ever although both processes are well and nothing was closed.
-// Sequence: a device between the two forgets an open connection and drops its bytes; writes still
-// succeed until the kernel's buffers are full.
-// Cause: TCP alone notices a silent connection only after many minutes.
+// Guards against requests that wait forever because a network device silently drops the bytes of an
+// open connection. Writes still succeed until the kernel's buffers are full, and TCP alone detects
+// the loss only after many minutes.
 TEST(PeerMesh, ASilentConnectionIsReplacedWithinTheTimeout)
 {
-  for (const auto swallow :
+  for (const auto direction :
        { Relay::Direction::kBoth, Relay::Direction::kToTarget, Relay::Direction::kToCaller }) {
     IoRuntime runtime;
     MeshProcess entry(runtime, "entry-1", QuickHeartbeats);
@@ -103,18 +101,18 @@
     entry.SendNumber(agent, 1, relay.ListenAddress());
     ASSERT_TRUE(agent.WaitFor([&] { return agent.numbers.size() == 1; }));
 
-    const TimePoint swallowed = BootNow();
-    relay.BlackholeExisting(swallow);
-    SECTION("both notice, and the old connection is down before the new one is up")
+    const TimePoint blackholedAt = BootNow();
+    relay.BlackholeExisting(direction);
+    SECTION("both detect it, and the old connection is down before the new one is up")
     {
       ASSERT_TRUE(entry.WaitForTransition("up agent-1", 2));
       ASSERT_TRUE(agent.WaitForTransition("up entry-1", 2));
-      const std::vector<std::string> story{ "up agent-1", "down agent-1", "up agent-1" };
-      EXPECT_EQ(entry.diary, story);
+      const std::vector<std::string> expected{ "up agent-1", "down agent-1", "up agent-1" };
+      EXPECT_EQ(entry.transitions, expected);
     }
     SECTION("within the timeout, with room for a busy machine")
     {
-      EXPECT_LT(BootNow() - swallowed, 2 * kSilence);
+      EXPECT_LT(BootNow() - blackholedAt, 2 * kSilenceTimeout);
     }
     SECTION("the new connection carries frames both ways")
     {
@@ -126,37 +124,36 @@
   }
 }
 
-// Symptom: an agent's answers vanish while its entry still seems well.
-// Sequence: only the way back to the dialler is lost, and the dialler is slow to give up; its
-// heartbeats go on arriving.
-// Cause: taking what arrives as proof that what leaves arrives, too.
-TEST(PeerMesh, TheAcceptingSideNoticesByItselfThatItsBytesAreLost)
+// Guards against undetected loss of an agent's responses when only the direction back to the
+// dialler fails and the dialler has a long timeout. Its heartbeats still arrive, which does not
+// prove that bytes in the other direction do.
+TEST(PeerMesh, TheAcceptingSideDetectsByItselfThatItsBytesAreLost)
 {
-  for (const auto swallow : { Relay::Direction::kToCaller, Relay::Direction::kToTarget }) {
+  for (const auto direction : { Relay::Direction::kToCaller, Relay::Direction::kToTarget }) {
     IoRuntime runtime;
     MeshProcess entry(runtime, "entry-1", [](PeerMeshSettings& settings) {
-      settings.heartbeatInterval = kSilence / 4;
-      settings.silenceTimeout = 10 * tests::kPatience;
+      settings.heartbeatInterval = kSilenceTimeout / 4;
+      settings.silenceTimeout = 10 * tests::kTestTimeout;
     });
     MeshProcess agent(runtime, "agent-1", QuickHeartbeats);
     Relay relay(runtime, agent.mesh.ListenAddress());
     ASSERT_TRUE(relay.Start());
     entry.SendNumber(agent, 1, relay.ListenAddress());
     ASSERT_TRUE(agent.WaitFor([&] { return agent.numbers.size() == 1; }));
-    runtime.SleepFor(2 * kSilence);
-    EXPECT_EQ(agent.diary, std::vector<std::string>{ "up entry-1" });
-    relay.BlackholeExisting(swallow);
+    runtime.SleepFor(2 * kSilenceTimeout);
+    EXPECT_EQ(agent.transitions, std::vector<std::string>{ "up entry-1" });
+    relay.BlackholeExisting(direction);
     ASSERT_TRUE(agent.WaitForTransition("up entry-1", 2));
     EXPECT_EQ(agent.mesh.Counters().silent, 1U);
   }
 }
 
-// Symptom: a peer that is cut off for good is still taken as connected.
-// Sequence: the open connection goes silent, and new ones can't be made either.
+// Guards against treating an unreachable peer as connected when its connection goes silent and new
+// connections fail, too.
 TEST(PeerMesh, ASilentPeerThatCannotBeDialledGoesDown)
 {
   IoRuntime runtime;
-  // Nothing listens at the announced addresses, so that only the relay leads from one to the other.
+  // Nothing listens at the announced addresses, so the peers can only connect through the relay.
   const auto unreachable = [](PeerMeshSettings& settings) {
     QuickHeartbeats(settings);
     settings.announcedAddress = "127.0.0.1:1";
@@ -170,13 +167,12 @@
   relay.RefuseNew(true);
   relay.BlackholeExisting(Relay::Direction::kBoth);
   ASSERT_TRUE(entry.WaitForTransition("down agent-1"));
-  EXPECT_EQ(entry.diary, (std::vector<std::string>{ "up agent-1", "down agent-1" }));
+  EXPECT_EQ(entry.transitions, (std::vector<std::string>{ "up agent-1", "down agent-1" }));
   EXPECT_EQ(entry.mesh.ConnectionCount(), 0U);
 }
 
-// Symptom: after a VM was paused, all its connections are replaced and all its requests resent.
-// Sequence: the process stands still for longer than the silence timeout and goes on.
-// Cause: it missed the answers itself, and takes every peer for silent.
+// Guards against replacing all connections and resending all requests after a VM was paused for
+// longer than the silence timeout: the process missed the heartbeat answers itself.
 TEST(PeerMesh, AfterAPauseOfTheProcessItsConnectionsStay)
 {
   IoRuntime runtime;
@@ -184,10 +180,10 @@
   MeshProcess agent(runtime, "agent-1", QuickHeartbeats);
   entry.SendNumber(agent, 1, agent.mesh.ListenAddress());
   ASSERT_TRUE(agent.WaitFor([&] { return agent.numbers.size() == 1; }));
-  std::this_thread::sleep_for(2 * kSilence);
-  runtime.SleepFor(2 * kSilence);
-  EXPECT_EQ(entry.diary, std::vector<std::string>{ "up agent-1" });
-  EXPECT_EQ(agent.diary, std::vector<std::string>{ "up entry-1" });
+  std::this_thread::sleep_for(2 * kSilenceTimeout);
+  runtime.SleepFor(2 * kSilenceTimeout);
+  EXPECT_EQ(entry.transitions, std::vector<std::string>{ "up agent-1" });
+  EXPECT_EQ(agent.transitions, std::vector<std::string>{ "up entry-1" });
 }
 
 TEST(PeerMesh, ACutConnectionIsDialledAgainOnlyForANewFrame)
@@ -202,14 +198,15 @@
   relay.ResetExisting();
   ASSERT_TRUE(entry.WaitForTransition("down agent-1"));
   ASSERT_TRUE(agent.WaitForTransition("down entry-1"));
-  runtime.SleepFor(2 * kSilence);
+  runtime.SleepFor(2 * kSilenceTimeout);
   EXPECT_EQ(relay.Accepted(), 1U);
   entry.SendNumber(agent, 2, relay.ListenAddress());
   ASSERT_TRUE(agent.WaitFor([&] { return agent.numbers.size() == 2; }));
-  EXPECT_EQ(entry.diary, (std::vector<std::string>{ "up agent-1", "down agent-1", "up agent-1" }));
+  EXPECT_EQ(entry.transitions,
+            (std::vector<std::string>{ "up agent-1", "down agent-1", "up agent-1" }));
 }
 
-TEST(PeerMesh, AFailedDialSaysThatItsFramesAreLost)
+TEST(PeerMesh, AFailedDialReportsThatItsFramesAreLost)
 {
   IoRuntime runtime;
   MeshProcess entry(runtime, "entry-1");
@@ -225,7 +222,7 @@
   EXPECT_EQ(Field(event, "address"), address);
 }
 
-TEST(PeerMesh, ARestartedPeerReplacesItsFormerLife)
+TEST(PeerMesh, ARestartedPeerReplacesItsPreviousIncarnation)
 {
   IoRuntime runtime;
   MeshProcess entry(runtime, "entry-1");
@@ -253,7 +250,7 @@
   const EventOut event = entry.Events(EventNumber::kPeerRefused)[0];
   EXPECT_EQ(Field(event, "step"), "read proof");
   EXPECT_EQ(Field(event, "peer"), "stranger");
-  EXPECT_TRUE(entry.diary.empty());
+  EXPECT_TRUE(entry.transitions.empty());
   EXPECT_TRUE(stranger.ups.empty());
 }
 
@@ -269,9 +266,9 @@
   EXPECT_TRUE(entry.ups.empty());
 }
 
-// Symptom: a process grows until it is killed while one peer is slow.
-// Cause: frames queue up for a peer that stopped reading; its connection looks well.
-TEST(PeerMesh, AFullQueueClosesTheConnectionAndSaysSo)
+// Guards against unbounded memory use when frames queue up for a peer that stopped reading while
+// its connection stays open.
+TEST(PeerMesh, AFullQueueClosesTheConnectionAndIsReported)
 {
   IoRuntime runtime;
   MeshProcess entry(
@@ -285,13 +282,12 @@
     entry.mesh.Send(FrameOut{ agent.name, "", MakeEnvelope(output) });
   }
   EXPECT_EQ(entry.Events(EventNumber::kPeerQueueFull).size(), 1U);
-  EXPECT_EQ(entry.diary.back(), "down agent-1");
+  EXPECT_EQ(entry.transitions.back(), "down agent-1");
 }
 
-// Symptom: a process grows until it is killed although no queue is full. Sequence: its own link is
-// slow, and what waits for each of dozens of peers is within the limit of one. Cause: no limit for
-// all of them together.
-TEST(PeerMesh, WhatWaitsForAllPeersIsBoundedAsWell)
+// Guards against unbounded memory use when the process's own link is slow and the queues of dozens
+// of peers grow, each within the limit for one peer.
+TEST(PeerMesh, TheQueuesOfAllPeersTogetherAreLimited)
 {
   IoRuntime runtime;
   MeshProcess control(runtime, "control-1", [](PeerMeshSettings& settings) {
@@ -314,8 +310,8 @@
   EXPECT_TRUE(control.Events(EventNumber::kPeerQueueFull).empty());
   send(second);
   EXPECT_EQ(control.Events(EventNumber::kPeerQueueFull).size(), 1U);
-  EXPECT_EQ(control.diary.back(), "down entry-2");
-  SECTION("and those with less than their part go on")
+  EXPECT_EQ(control.transitions.back(), "down entry-2");
+  SECTION("a peer within its share keeps its connection")
   {
     control.SendNumber(first, 2, "");
     ASSERT_TRUE(first.WaitFor([&] { return first.numbers.size() == 3; }));
@@ -323,10 +319,9 @@
   }
 }
 
-// Symptom: followers take a leader for dead that is only busy ("nine terms on one day, of which two
-// were planned"). Sequence: its link is full of lists for others. Cause: the replicated log's
-// frames waited behind all that was queued before them.
-TEST(PeerMesh, TheReplicatedLogGoesFirst)
+// Guards against needless elections while the leader's link is busy; seven of nine terms were once
+// unplanned for this reason. Frames of the replicated log must not wait behind other queued frames.
+TEST(PeerMesh, ReplicatedLogFramesAreSentFirst)
 {
   IoRuntime runtime;
   MeshProcess leader(runtime, "control-1");
@@ -341,18 +336,17 @@
   ASSERT_TRUE(follower.WaitFor([&] { return follower.numbers.size() == kFrames + 1; }));
   const auto log = std::find(follower.numbers.begin(), follower.numbers.end(), 0U);
   EXPECT_LT(log - follower.numbers.begin(), 3);
-  SECTION("and the others stay in order")
+  SECTION("the other frames stay in order")
   {
     follower.numbers.erase(log);
     EXPECT_EQ(follower.numbers, UpTo(kFrames));
   }
 }
 
-// Symptom: a cluster of three never founds itself, each caller is refused ("no serving document is
-// known yet"); 203 PeerDialFailed "another message came instead" over and over. Sequence: a process
-// accepts a connection from one that it has a vote or an append for. Cause: the log's frames went
-// before all others, the proof of the handshake among them.
-TEST(PeerMesh, TheReplicatedLogWaitsForTheHandshake)
+// Guards against a cluster that is never founded and refuses all callers, because each handshake
+// fails with PeerDialFailed. A process that accepts a connection must send its handshake proof
+// before queued frames of the replicated log, although these have priority.
+TEST(PeerMesh, ReplicatedLogFramesWaitForTheHandshake)
 {
   IoRuntime runtime;
   MeshProcess first(runtime, "control-1");
@@ -367,12 +361,12 @@
   ASSERT_TRUE(second.WaitFor([&] { return !second.numbers.empty(); }));
   for (const MeshProcess* process : { &first, &second }) {
     for (const EventOut& event : process->Events(EventNumber::kPeerDialFailed)) {
-      EXPECT_NE(Field(event, "reason"), "another message came instead");
+      EXPECT_NE(Field(event, "reason"), "expected a HelloProof message");
     }
   }
 }
 
-// An operator who asks what fills a link gets it by kind of message.
+// Shows operators which message types cause the load of a link.
 TEST(PeerMesh, TrafficIsCountedByKind)
 {
   IoRuntime runtime;
@@ -386,7 +380,7 @@
   EXPECT_GT(agent.mesh.Counters().receivedByKind.at(kKind).bytes, 0U);
 }
 
-TEST(PeerMesh, AFrameOverTheLimitIsNotSentAndTheConnectionLives)
+TEST(PeerMesh, AFrameOverTheLimitIsNotSentAndTheConnectionStaysOpen)
 {
   IoRuntime runtime;
   MeshProcess entry(runtime, "entry-1");
@@ -401,7 +395,7 @@
   ASSERT_TRUE(agent.WaitFor([&] { return agent.numbers.size() == 2; }));
 }
 
-TEST(PeerMesh, ALargeFrameArrivesWhole)
+TEST(PeerMesh, ALargeFrameArrivesComplete)
 {
   IoRuntime runtime;
   MeshProcess entry(runtime, "entry-1");
--- a/tests/unit/peer_stranger_test.cpp
+++ b/tests/unit/peer_stranger_test.cpp
@@ -26,7 +26,7 @@
   return hello;
 }
 
-// What a stranger sends, and the step at which the process must refuse it.
+// Bytes from an unauthenticated caller, and the step at which they must be refused.
 struct Attack
 {
   std::string name;
@@ -56,7 +56,7 @@
   };
 }
 
-TEST(PeerStranger, IsRefusedWithAnEventThatNamesStepAndAddressAndTheProcessLivesOn)
+TEST(PeerStranger, IsRefusedWithAnEventThatNamesStepAndAddressAndOthersAreServed)
 {
   for (const Attack& attack : Attacks()) {
     SECTION(attack.name)
@@ -73,7 +73,7 @@
       const EventOut event = entry.Events(EventNumber::kPeerRefused)[0];
       EXPECT_EQ(Field(event, "step"), attack.step);
       EXPECT_EQ(Field(event, "address"), address);
-      EXPECT_TRUE(entry.diary.empty());
+      EXPECT_TRUE(entry.transitions.empty());
 
       agent.SendNumber(entry, 1, entry.mesh.ListenAddress());
       EXPECT_TRUE(entry.WaitFor([&] { return entry.numbers.size() == 1; }));
@@ -81,9 +81,9 @@
   }
 }
 
-// Symptom: no peer can connect any more.
-// Sequence: strangers, or a port scanner, connect and say nothing.
-TEST(PeerStranger, WhoSaysNothingIsClosedAfterTheTimeout)
+// Guards against exhausting the handshake slots by unauthenticated connections that send nothing,
+// for example from a port scanner.
+TEST(PeerStranger, AConnectionThatSendsNothingIsClosedAfterTheTimeout)
 {
   IoRuntime runtime;
   MeshProcess entry(runtime, "entry-1", [](PeerMeshSettings& settings) {
@@ -95,7 +95,7 @@
   EXPECT_EQ(entry.mesh.Counters().refused, 1U);
 }
 
-TEST(PeerStranger, APeerThatTurnsToGarbageIsClosedAndReported)
+TEST(PeerStranger, APeerThatSendsGarbageIsClosedAndReported)
 {
   IoRuntime runtime;
   MeshProcess entry(runtime, "entry-1");
