--- a/src/http/http_client.cpp
+++ b/src/http/http_client.cpp
@@ -20,8 +20,8 @@
 bool IsUsable(tcp::socket& socket)
 {
   char byte = 0;
-  const ssize_t seen = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  return seen < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+  const ssize_t peeked = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+  return peeked < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
 } // namespace
@@ -70,12 +70,12 @@
                                       impl::HttpCallHooks callHooks)
 {
   const std::uint64_t number = ++lastCall;
-  const auto made = std::make_shared<impl::HttpCall>(
+  const auto httpCall = std::make_shared<impl::HttpCall>(
     runtime.Io(), settings, std::string(address), std::move(call), std::move(callHooks));
-  calls.emplace(number, made);
+  calls.emplace(number, httpCall);
   ++fibers;
-  runtime.Spawn([this, number, made] {
-    Run(number, made);
+  runtime.Spawn([this, number, httpCall] {
+    Run(number, httpCall);
     --fibers;
     fiberEnded.Notify();
   });
@@ -113,11 +113,11 @@
 
 void HttpClient::Impl::KeepIdle(impl::HttpCall& call)
 {
-  std::deque<Idle>& kept = idle[call.Address()];
-  if (kept.size() >= settings.maxIdlePerAddress) {
-    kept.pop_front();
+  std::deque<Idle>& idleSockets = idle[call.Address()];
+  if (idleSockets.size() >= settings.maxIdlePerAddress) {
+    idleSockets.pop_front();
   }
-  kept.push_back(Idle{ call.TakeSocket(), BootNow() });
+  idleSockets.push_back(Idle{ call.TakeSocket(), BootNow() });
   if (!expiry.IsArmed()) {
     expiry.Arm(settings.idleTimeout, [this] { ExpireIdle(); });
   }
@@ -126,9 +126,9 @@
 void HttpClient::Impl::ExpireIdle()
 {
   const TimePoint now = BootNow();
-  for (auto& [address, kept] : idle) {
-    while (!kept.empty() && now - kept.front().since >= settings.idleTimeout) {
-      kept.pop_front();
+  for (auto& [address, idleSockets] : idle) {
+    while (!idleSockets.empty() && now - idleSockets.front().since >= settings.idleTimeout) {
+      idleSockets.pop_front();
     }
   }
   std::erase_if(idle, [](const auto& row) { return row.second.empty(); });
--- a/src/http/http_server.cpp
+++ b/src/http/http_server.cpp
@@ -150,17 +150,17 @@
 
 impl::HttpSessionHooks HttpServer::Impl::MakeSessionHooks()
 {
-  impl::HttpSessionHooks made;
-  made.onBegin = [this](impl::HttpSession& session) {
+  impl::HttpSessionHooks callbacks;
+  callbacks.onBegin = [this](impl::HttpSession& session) {
     const ExchangeId exchange(++lastExchange);
     exchanges.emplace(exchange, session.shared_from_this());
     ++counters.requests;
     return exchange;
   };
-  made.onRequest = [this](HttpRequestIn request) { hooks.onRequest(std::move(request)); };
-  made.onEnd = [this](ExchangeId exchange) { exchanges.erase(exchange); };
-  made.onCallerGone = [this](ExchangeId exchange) { OnCallerDisconnected(exchange); };
-  made.onAborted =
+  callbacks.onRequest = [this](HttpRequestIn request) { hooks.onRequest(std::move(request)); };
+  callbacks.onEnd = [this](ExchangeId exchange) { exchanges.erase(exchange); };
+  callbacks.onCallerGone = [this](ExchangeId exchange) { OnCallerDisconnected(exchange); };
+  callbacks.onAborted =
     [this](const impl::HttpSession& session, ExchangeId exchange, std::string_view reason) {
       ++counters.aborted;
       Emit(EventNumber::kHttpAnswerCut,
@@ -168,7 +168,7 @@
              { "exchange", std::to_string(exchange.Get()) },
              { "reason", std::string(reason) } });
     };
-  made.onRejected =
+  callbacks.onRejected =
     [this](const impl::HttpSession& session, unsigned status, std::string_view message) {
       ++counters.rejected;
       Emit(EventNumber::kHttpRejected,
@@ -176,9 +176,9 @@
              { "status", std::to_string(status) },
              { "reason", std::string(message) } });
     };
-  made.errorBody = hooks.errorBody;
-  made.isStopping = [this] { return stopping; };
-  return made;
+  callbacks.errorBody = hooks.errorBody;
+  callbacks.isStopping = [this] { return stopping; };
+  return callbacks;
 }
 
 void HttpServer::Impl::OnCallerDisconnected(ExchangeId exchange)
--- a/src/http/http_session_read.cpp
+++ b/src/http/http_session_read.cpp
@@ -253,14 +253,14 @@
 void HttpSession::OnReadable(bool failed)
 {
   char byte = 0;
-  const ssize_t seen =
+  const ssize_t peeked =
     failed ? 0 : ::recv(m_socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  const bool nothingYet = seen < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR);
+  const bool nothingYet = peeked < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR);
   if (nothingYet) {
     WatchCaller();
     return;
   }
-  if (seen <= 0) {
+  if (peeked <= 0) {
     OnCallerDisconnected();
     return;
   }
--- a/src/http/http_session_write.cpp
+++ b/src/http/http_session_write.cpp
@@ -103,12 +103,12 @@
 {
   // HTTP/1.0 has no chunked encoding, so an aborted response would look complete. The response is
   // buffered and sent with its length.
-  const bool gather = request.version < 11;
-  if (!WaitForPart() || (gather && !WaitForEnd())) {
+  const bool buffered = request.version < 11;
+  if (!WaitForPart() || (buffered && !WaitForEnd())) {
     return WriteResult::kIncomplete;
   }
   HttpAnswerOut first = JoinParts();
-  if (first.abort && (gather || first.bytes.empty())) {
+  if (first.abort && (buffered || first.bytes.empty())) {
     Abort("aborted before any byte of the response was sent");
     return WriteResult::kIncomplete;
   }
--- a/src/net/handshake.cpp
+++ b/src/net/handshake.cpp
@@ -70,14 +70,14 @@
   Proof proof{};
   unsigned size = 0;
   const auto* const bytes = reinterpret_cast<const unsigned char*>(message.data());
-  const auto* const made = HMAC(EVP_sha256(),
-                                clusterKey.data(),
-                                static_cast<int>(clusterKey.size()),
-                                bytes,
-                                message.size(),
-                                proof.data(),
-                                &size);
-  if (made == nullptr || size != proof.size()) {
+  const auto* const digest = HMAC(EVP_sha256(),
+                                  clusterKey.data(),
+                                  static_cast<int>(clusterKey.size()),
+                                  bytes,
+                                  message.size(),
+                                  proof.data(),
+                                  &size);
+  if (digest == nullptr || size != proof.size()) {
     std::abort();
   }
   return proof;
--- a/src/net/peer_handshake.cpp
+++ b/src/net/peer_handshake.cpp
@@ -122,9 +122,9 @@
     return HandshakeError(
       ErrorCode::kConflict, "read proof", connection->address, "refused: " + answer->refusal);
   }
-  const impl::Proof wanted =
+  const impl::Proof expectedProof =
     impl::MakeProof(settings.clusterKey, impl::ProofSide::kAcceptor, own, *hello);
-  if (!impl::ProofMatches(wanted, answer->proof)) {
+  if (!impl::ProofMatches(expectedProof, answer->proof)) {
     return HandshakeError(
       ErrorCode::kDenied, "read proof", connection->address, "the cluster keys differ");
   }
@@ -149,9 +149,9 @@
     return HandshakeError(
       ErrorCode::kCorrupt, "read proof", connection->address, "expected a HelloProof message");
   }
-  const impl::Proof wanted =
+  const impl::Proof expectedProof =
     impl::MakeProof(settings.clusterKey, impl::ProofSide::kDialler, *hello, own);
-  if (!impl::ProofMatches(wanted, proof->proof)) {
+  if (!impl::ProofMatches(expectedProof, proof->proof)) {
     return HandshakeError(
       ErrorCode::kDenied, "read proof", connection->address, "the cluster keys differ");
   }
--- a/src/net/peer_traffic.cpp
+++ b/src/net/peer_traffic.cpp
@@ -18,18 +18,18 @@
 void PeerMesh::Impl::Serve(const ConnectionPtr& connection)
 {
   while (!connection->Closed()) {
-    const Result<void> taken = DispatchFrames(connection);
+    const Result<void> dispatched = DispatchFrames(connection);
     if (connection->Closed()) {
       break;
     }
-    if (!taken) {
+    if (!dispatched) {
       ++counters.malformed;
       Emit(EventNumber::kPeerMalformed,
            { { "peer", connection->process.Get() },
              { "address", connection->address },
-             { "step", taken.error().step },
-             { "reason", taken.error().description } });
-      Disconnect(connection, taken.error().step, taken.error().description);
+             { "step", dispatched.error().step },
+             { "reason", dispatched.error().description } });
+      Disconnect(connection, dispatched.error().step, dispatched.error().description);
       return;
     }
     const auto room = connection->reader.Prepare();
--- a/src/shell/process_shell.cpp
+++ b/src/shell/process_shell.cpp
@@ -268,8 +268,8 @@
 
 void ProcessShell::Send(const FrameOut& frame)
 {
-  if (std::optional<FrameIn> looped = m_observer.OnFrameOut(frame)) {
-    m_hooks.onFrame(std::move(*looped));
+  if (std::optional<FrameIn> loopback = m_observer.OnFrameOut(frame)) {
+    m_hooks.onFrame(std::move(*loopback));
     return;
   }
   m_mesh->Send(frame);
--- a/tests/support/http_exchange.hpp
+++ b/tests/support/http_exchange.hpp
@@ -48,7 +48,7 @@
   bool started = false;
   std::string address;
   std::vector<HttpRequestIn> requests;
-  std::vector<ExchangeId> gone;
+  std::vector<ExchangeId> disconnected;
   std::vector<EventOut> events;
   std::function<void(const HttpRequestIn&)> onRequest; ///< May be empty.
   Signal changed;
@@ -76,7 +76,7 @@
       }
     };
     hooks.onCallerGone = [this](HttpCallerGone caller) {
-      gone.push_back(caller.exchange);
+      disconnected.push_back(caller.exchange);
       changed.Notify();
     };
     hooks.onEvent = [this](EventOut event) {
--- a/tests/unit/http_client_test.cpp
+++ b/tests/unit/http_client_test.cpp
@@ -94,8 +94,8 @@
   {
     std::string address;
     {
-      RawServer gone(runtime, "");
-      address = gone.address;
+      RawServer closed(runtime, "");
+      address = closed.address;
     }
     RecordingClient agent(runtime);
     agent.Start(address, 1);
@@ -103,7 +103,7 @@
     EXPECT_TRUE(agent.failures[0].neverSent);
     EXPECT_EQ(agent.failures[0].error.step, "connect to target");
   }
-  SECTION("a path that would forge a second request is never sent")
+  SECTION("a path that would inject a second request is never sent")
   {
     RecordingServer target(runtime);
     HttpClient client(runtime, {});
@@ -123,7 +123,7 @@
     EXPECT_EQ(agent.failures[0].error.code, ErrorCode::kTimeout);
     SECTION("the target detects the disconnect")
     {
-      EXPECT_TRUE(target.WaitFor([&] { return target.gone.size() == 1; }));
+      EXPECT_TRUE(target.WaitFor([&] { return target.disconnected.size() == 1; }));
     }
   }
 }
@@ -138,7 +138,7 @@
   ASSERT_TRUE(agent.WaitFor([&] { return agent.Body() == "begun"; }));
   const std::size_t partsBefore = agent.parts.size();
   agent.client.Cancel(ExchangeId(1));
-  ASSERT_TRUE(target.WaitFor([&] { return target.gone.size() == 1; }));
+  ASSERT_TRUE(target.WaitFor([&] { return target.disconnected.size() == 1; }));
   EXPECT_EQ(agent.parts.size(), partsBefore);
   EXPECT_TRUE(agent.failures.empty());
 }
--- a/tests/unit/http_server_test.cpp
+++ b/tests/unit/http_server_test.cpp
@@ -34,14 +34,14 @@
     EXPECT_EQ(request.body, "body");
     EXPECT_EQ(request.peer, ToAddress(caller.socket.local_endpoint()));
   }
-  SECTION("a whole answer carries its length")
+  SECTION("a complete response carries its length")
   {
     server.Send(server.Request(1), "hello", true);
     ASSERT_TRUE(caller.ReadUntil("\r\n\r\nhello"));
     EXPECT_TRUE(Contains(caller.received, "Content-Length: 5"));
     EXPECT_FALSE(Contains(caller.received, "chunked"));
   }
-  SECTION("a streamed answer leaves part by part")
+  SECTION("a streamed response is sent in parts")
   {
     caller.received.clear();
     caller.Write(kGet);
@@ -85,7 +85,7 @@
     EXPECT_TRUE(Contains(caller.ReadToEnd(), " more"));
     EXPECT_FALSE(Contains(caller.received, "0\r\n\r\n"));
     EXPECT_EQ(server.server.Counters().aborted, 1U);
-    EXPECT_TRUE(server.gone.empty());
+    EXPECT_TRUE(server.disconnected.empty());
   }
   SECTION("HTTP/1.0 has no chunks: nothing is sent before the end is known")
   {
@@ -145,13 +145,13 @@
     settings.maxHeaderBytes = 1000;
     settings.maxBodyBytes = 2000;
   });
-  for (const Case& one : cases) {
-    SECTION(one.name)
+  for (const Case& testCase : cases) {
+    SECTION(testCase.name)
     {
       RawConnection caller(runtime, server.address);
-      caller.Write(one.bytes);
+      caller.Write(testCase.bytes);
       const std::string& answer = caller.ReadToEnd();
-      EXPECT_EQ(answer.substr(0, 13), "HTTP/1.1 " + one.status);
+      EXPECT_EQ(answer.substr(0, 13), "HTTP/1.1 " + testCase.status);
       EXPECT_TRUE(Contains(answer, "application/json"));
       EXPECT_TRUE(Contains(answer, "\"outcome\":\"not-run\""));
       EXPECT_TRUE(Contains(answer, "Connection: close"));
@@ -183,8 +183,8 @@
     caller.Write(kGet);
     const ExchangeId exchange = server.Request(1).exchange;
     caller.Close();
-    ASSERT_TRUE(server.WaitFor([&] { return server.gone.size() == 1; }));
-    EXPECT_EQ(server.gone[0], exchange);
+    ASSERT_TRUE(server.WaitFor([&] { return server.disconnected.size() == 1; }));
+    EXPECT_EQ(server.disconnected[0], exchange);
   }
   SECTION("in the middle of a stream")
   {
@@ -193,7 +193,7 @@
     server.Send(server.Request(2), "part", false);
     ASSERT_TRUE(caller.ReadUntil("part"));
     caller.Close();
-    ASSERT_TRUE(server.WaitFor([&] { return server.gone.size() == 2; }));
+    ASSERT_TRUE(server.WaitFor([&] { return server.disconnected.size() == 2; }));
   }
   SECTION("having sent its next request already")
   {
@@ -201,7 +201,7 @@
     caller.Write(std::string(kGet) + kGet);
     server.Request(3);
     caller.Close();
-    ASSERT_TRUE(server.WaitFor([&] { return server.gone.size() == 3; }));
+    ASSERT_TRUE(server.WaitFor([&] { return server.disconnected.size() == 3; }));
   }
   SECTION("an answer for it is dropped")
   {
@@ -233,12 +233,12 @@
   caller.Write(kGet);
   const HttpRequestIn request = server.Request(1);
   std::size_t queued = 0;
-  for (int i = 0; i < 1000 && server.gone.empty(); ++i) {
+  for (int i = 0; i < 1000 && server.disconnected.empty(); ++i) {
     server.Send(request, std::string(100 * 1024, 'x'), false);
     queued = std::max(queued, server.server.QueuedBytes(request.exchange));
     runtime.SleepFor(std::chrono::milliseconds(1));
   }
-  ASSERT_EQ(server.gone.size(), 1U);
+  ASSERT_EQ(server.disconnected.size(), 1U);
   EXPECT_LE(queued, 1024U * 1024U);
   EXPECT_EQ(server.server.Counters().aborted, 1U);
   caller.ReadToEnd();
--- a/tests/unit/peer_mesh_test.cpp
+++ b/tests/unit/peer_mesh_test.cpp
@@ -35,7 +35,7 @@
   MeshProcess agent(runtime, "agent-1");
   ASSERT_TRUE(entry.started && agent.started);
 
-  SECTION("the first frame dials, and those sent before the connection stands follow it")
+  SECTION("the first frame dials, and frames sent before the connection is established follow it")
   {
     for (const std::uint64_t number : UpTo(1000)) {
       entry.SendNumber(agent, number, agent.mesh.ListenAddress());
