--- a/tests/soak/soak.cpp
+++ b/tests/soak/soak.cpp
@@ -178,12 +178,12 @@
   void CutConnections()
   {
     RecordFault("connections to a replica are reset");
-    RandomElement(m_replicas)->Relay().CutExisting();
+    RandomElement(m_replicas)->Relay().ResetExisting();
   }
   void StallConnections()
   {
     RecordFault("open connections to a replica drop all data");
-    RandomElement(m_replicas)->Relay().SwallowExisting();
+    RandomElement(m_replicas)->Relay().BlackholeExisting();
   }
   void DelayRelay()
   {
--- a/tests/support/http_call.hpp
+++ b/tests/support/http_call.hpp
@@ -13,7 +13,7 @@
 
 struct HttpReply
 {
-  unsigned status = 0; ///< 0: no answer, see `failure`.
+  unsigned status = 0; ///< 0 if there is no response; see `failure`.
   Headers headers;
   std::string body;
   bool whole = false; ///< The complete body was received, by the framing of HTTP.
--- a/tests/support/http_exchange.hpp
+++ b/tests/support/http_exchange.hpp
@@ -12,12 +12,12 @@
 
 namespace gooseberrysail::tests {
 
-/// \brief A server that notes what its hooks are told and answers only as the test says.
-class NotingServer
+/// \brief A server that records its hook calls; the test sends the responses.
+class RecordingServer
 {
 public:
-  explicit NotingServer(IoRuntime& runtime,
-                        const std::function<void(HttpServerSettings&)>& adjust = {})
+  explicit RecordingServer(IoRuntime& runtime,
+                           const std::function<void(HttpServerSettings&)>& adjust = {})
     : server(runtime, MakeSettings(adjust), MakeHooks())
   {
     started = server.Start().has_value();
@@ -48,7 +48,7 @@
   bool started = false;
   std::string address;
   std::vector<HttpRequestIn> requests;
-  std::vector<ExchangeId> gone;
+  std::vector<ExchangeId> disconnected;
   std::vector<EventOut> events;
   std::function<void(const HttpRequestIn&)> onRequest; ///< May be empty.
   Signal changed;
@@ -76,7 +76,7 @@
       }
     };
     hooks.onCallerGone = [this](HttpCallerGone caller) {
-      gone.push_back(caller.exchange);
+      disconnected.push_back(caller.exchange);
       changed.Notify();
     };
     hooks.onEvent = [this](EventOut event) {
@@ -87,11 +87,11 @@
   }
 };
 
-/// \brief A client that notes what its hooks are told.
-class NotingClient
+/// \brief A client that records its hook calls.
+class RecordingClient
 {
 public:
-  explicit NotingClient(IoRuntime& runtime, const HttpClientSettings& settings = {})
+  explicit RecordingClient(IoRuntime& runtime, const HttpClientSettings& settings = {})
     : client(runtime, settings, MakeHooks())
   {
   }
--- a/tests/unit/http_client_test.cpp
+++ b/tests/unit/http_client_test.cpp
@@ -5,16 +5,16 @@
 namespace gooseberrysail {
 namespace {
 
-using tests::kPatience;
-using tests::NotingClient;
-using tests::NotingServer;
+using tests::kTestTimeout;
 using tests::RawServer;
+using tests::RecordingClient;
+using tests::RecordingServer;
 
 TEST(HttpClient, StreamsAnAnswerPartByPart)
 {
   IoRuntime runtime;
-  NotingServer target(runtime);
-  NotingClient agent(runtime);
+  RecordingServer target(runtime);
+  RecordingClient agent(runtime);
   agent.Start(target.address, 7, Duration::zero(), "prompt");
   EXPECT_EQ(target.Request(1).body, "prompt");
   EXPECT_EQ(FindHeader(target.Request(1).headers, "Host"), target.address);
@@ -35,11 +35,11 @@
 TEST(HttpClient, ReusesAConnectionWhoseAnswerWasWhole)
 {
   IoRuntime runtime;
-  NotingServer target(runtime);
+  RecordingServer target(runtime);
   target.onRequest = [&](const HttpRequestIn& request) { target.Send(request, "ok", true); };
   HttpClient client(runtime, {});
   for (int i = 0; i < 3; ++i) {
-    const auto reply = client.Fetch(target.address, "GET", "/", {}, "", kPatience);
+    const auto reply = client.Fetch(target.address, "GET", "/", {}, "", kTestTimeout);
     ASSERT_TRUE(reply) << reply.error();
     EXPECT_EQ(reply.value().status, 200U);
     EXPECT_EQ(reply.value().body, "ok");
@@ -47,7 +47,7 @@
   EXPECT_EQ(target.server.Counters().connections, 1U);
 }
 
-// Symptom: half an answer is handed on as a whole one.
+// Guards against passing on an incomplete response as a complete one.
 TEST(HttpClient, AnAnswerThatEndsTooEarlyFails)
 {
   const std::vector<std::pair<std::string, std::string>> cases{
@@ -58,14 +58,14 @@
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n8\r\nhalf" },
     { "in its headers", "HTTP/1.1 200 OK\r\nContent-Le" },
     { "before its first byte", "" },
-    { "or that nobody can tell whole from cut", "HTTP/1.1 200 OK\r\n\r\nhalf" },
+    { "without length or chunks, where the end is ambiguous", "HTTP/1.1 200 OK\r\n\r\nhalf" },
   };
   for (const auto& [name, bytes] : cases) {
     SECTION(name)
     {
       IoRuntime runtime;
       RawServer target(runtime, bytes);
-      NotingClient agent(runtime);
+      RecordingClient agent(runtime);
       agent.Start(target.address, 1);
       ASSERT_TRUE(agent.WaitFor([&] { return !agent.failures.empty(); }));
       EXPECT_FALSE(agent.IsWhole());
@@ -76,53 +76,54 @@
   }
 }
 
-TEST(HttpClient, SkipsAnAnnouncementBeforeTheAnswer)
+TEST(HttpClient, SkipsAnInformationalResponse)
 {
   IoRuntime runtime;
   RawServer target(
     runtime, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 201 Created\r\nContent-Length: 2\r\n\r\nok");
   HttpClient client(runtime, {});
-  const auto reply = client.Fetch(target.address, "GET", "/", {}, "", kPatience);
+  const auto reply = client.Fetch(target.address, "GET", "/", {}, "", kTestTimeout);
   ASSERT_TRUE(reply) << reply.error();
   EXPECT_EQ(reply.value().status, 201U);
 }
 
-TEST(HttpClient, SaysNeverSentOnlyWhenNoByteLeft)
+TEST(HttpClient, ReportsNeverSentOnlyWhenNoByteWasSent)
 {
   IoRuntime runtime;
   SECTION("nobody listens")
   {
     std::string address;
     {
-      RawServer gone(runtime, "");
-      address = gone.address;
+      RawServer closed(runtime, "");
+      address = closed.address;
     }
-    NotingClient agent(runtime);
+    RecordingClient agent(runtime);
     agent.Start(address, 1);
     ASSERT_TRUE(agent.WaitFor([&] { return !agent.failures.empty(); }));
     EXPECT_TRUE(agent.failures[0].neverSent);
     EXPECT_EQ(agent.failures[0].error.step, "connect to target");
   }
-  SECTION("a path that would forge a second request is never sent")
+  SECTION("a path that would inject a second request is never sent")
   {
-    NotingServer target(runtime);
+    RecordingServer target(runtime);
     HttpClient client(runtime, {});
-    const auto reply = client.Fetch(target.address, "GET", "/ HTTP/1.1\r\nX: y", {}, "", kPatience);
+    const auto reply =
+      client.Fetch(target.address, "GET", "/ HTTP/1.1\r\nX: y", {}, "", kTestTimeout);
     ASSERT_FALSE(reply);
     EXPECT_EQ(reply.error().code, ErrorCode::kInvalid);
     EXPECT_TRUE(target.requests.empty());
   }
-  SECTION("the target got the request and says nothing")
+  SECTION("the target received the request and does not answer")
   {
-    NotingServer target(runtime);
-    NotingClient agent(runtime);
+    RecordingServer target(runtime);
+    RecordingClient agent(runtime);
     agent.Start(target.address, 1, std::chrono::milliseconds(50));
     ASSERT_TRUE(agent.WaitFor([&] { return !agent.failures.empty(); }));
     EXPECT_FALSE(agent.failures[0].neverSent);
     EXPECT_EQ(agent.failures[0].error.code, ErrorCode::kTimeout);
-    SECTION("and sees its caller gone")
+    SECTION("the target detects the disconnect")
     {
-      EXPECT_TRUE(target.WaitFor([&] { return target.gone.size() == 1; }));
+      EXPECT_TRUE(target.WaitFor([&] { return target.disconnected.size() == 1; }));
     }
   }
 }
@@ -130,14 +131,14 @@
 TEST(HttpClient, ACancelledCallIsSeenByTheTargetAndNoHookIsCalled)
 {
   IoRuntime runtime;
-  NotingServer target(runtime);
-  NotingClient agent(runtime);
+  RecordingServer target(runtime);
+  RecordingClient agent(runtime);
   agent.Start(target.address, 1);
   target.Send(target.Request(1), "begun", false);
   ASSERT_TRUE(agent.WaitFor([&] { return agent.Body() == "begun"; }));
   const std::size_t partsBefore = agent.parts.size();
   agent.client.Cancel(ExchangeId(1));
-  ASSERT_TRUE(target.WaitFor([&] { return target.gone.size() == 1; }));
+  ASSERT_TRUE(target.WaitFor([&] { return target.disconnected.size() == 1; }));
   EXPECT_EQ(agent.parts.size(), partsBefore);
   EXPECT_TRUE(agent.failures.empty());
 }
@@ -145,7 +146,7 @@
 TEST(HttpClient, AFetchThatIsNotWholeInTimeFails)
 {
   IoRuntime runtime;
-  NotingServer target(runtime);
+  RecordingServer target(runtime);
   target.onRequest = [&](const HttpRequestIn& request) { target.Send(request, "begun", false); };
   HttpClient client(runtime, {});
   const auto reply =
@@ -158,14 +159,14 @@
 TEST(HttpClient, AnAnswerOverTheLimitIsNotCollected)
 {
   IoRuntime runtime;
-  NotingServer target(runtime);
+  RecordingServer target(runtime);
   target.onRequest = [&](const HttpRequestIn& request) {
     target.Send(request, std::string(5000, 'x'), true);
   };
   HttpClientSettings settings;
   settings.maxFetchedBytes = 4000;
   HttpClient client(runtime, settings);
-  const auto reply = client.Fetch(target.address, "GET", "/", {}, "", kPatience);
+  const auto reply = client.Fetch(target.address, "GET", "/", {}, "", kTestTimeout);
   ASSERT_FALSE(reply);
   EXPECT_EQ(reply.error().code, ErrorCode::kTooLarge);
 }
@@ -173,13 +174,13 @@
 TEST(HttpClient, CarriesALargeBodyAndAnswerWhole)
 {
   IoRuntime runtime;
-  NotingServer target(runtime);
+  RecordingServer target(runtime);
   target.onRequest = [&](const HttpRequestIn& request) {
     target.Send(request, request.body, true);
   };
   HttpClient client(runtime, {});
   const std::string body(5 * 1024 * 1024, 'b');
-  const auto reply = client.Fetch(target.address, "POST", "/", {}, body, kPatience);
+  const auto reply = client.Fetch(target.address, "POST", "/", {}, body, kTestTimeout);
   ASSERT_TRUE(reply) << reply.error();
   EXPECT_TRUE(reply.value().body == body);
 }
--- a/tests/unit/http_server_test.cpp
+++ b/tests/unit/http_server_test.cpp
@@ -5,9 +5,9 @@
 namespace gooseberrysail {
 namespace {
 
-using tests::kPatience;
-using tests::NotingServer;
+using tests::kTestTimeout;
 using tests::RawConnection;
+using tests::RecordingServer;
 
 constexpr const char* kGet = "GET /health HTTP/1.1\r\nHost: x\r\n\r\n";
 
@@ -19,7 +19,7 @@
 TEST(HttpServer, AnswersOneRequestAfterAnotherOnOneConnection)
 {
   IoRuntime runtime;
-  NotingServer server(runtime);
+  RecordingServer server(runtime);
   ASSERT_TRUE(server.started);
   RawConnection caller(runtime, server.address);
 
@@ -34,14 +34,14 @@
     EXPECT_EQ(request.body, "body");
     EXPECT_EQ(request.peer, ToAddress(caller.socket.local_endpoint()));
   }
-  SECTION("a whole answer carries its length")
+  SECTION("a complete response carries its length")
   {
     server.Send(server.Request(1), "hello", true);
     ASSERT_TRUE(caller.ReadUntil("\r\n\r\nhello"));
     EXPECT_TRUE(Contains(caller.received, "Content-Length: 5"));
     EXPECT_FALSE(Contains(caller.received, "chunked"));
   }
-  SECTION("a streamed answer leaves part by part")
+  SECTION("a streamed response is sent in parts")
   {
     caller.received.clear();
     caller.Write(kGet);
@@ -69,14 +69,14 @@
   EXPECT_EQ(server.server.PendingExchanges(), 0U);
 }
 
-// Symptom: a caller takes half an answer for a whole one.
-// Sequence: the engine dies in the middle of a stream; the answer is aborted.
-TEST(HttpServer, AnAbortedAnswerCannotLookWhole)
+// Guards against a caller taking an incomplete response for a complete one when the engine fails
+// in the middle of a stream and the response is aborted.
+TEST(HttpServer, AnAbortedResponseCannotLookComplete)
 {
   IoRuntime runtime;
   SECTION("chunked: the last chunk is missing")
   {
-    NotingServer server(runtime);
+    RecordingServer server(runtime);
     RawConnection caller(runtime, server.address);
     caller.Write(kGet);
     server.Send(server.Request(1), "half", false);
@@ -85,11 +85,11 @@
     EXPECT_TRUE(Contains(caller.ReadToEnd(), " more"));
     EXPECT_FALSE(Contains(caller.received, "0\r\n\r\n"));
     EXPECT_EQ(server.server.Counters().aborted, 1U);
-    EXPECT_TRUE(server.gone.empty());
+    EXPECT_TRUE(server.disconnected.empty());
   }
   SECTION("HTTP/1.0 has no chunks: nothing is sent before the end is known")
   {
-    NotingServer server(runtime);
+    RecordingServer server(runtime);
     RawConnection caller(runtime, server.address);
     caller.Write("GET / HTTP/1.0\r\n\r\n");
     server.Send(server.Request(1), "half", false);
@@ -98,7 +98,7 @@
   }
   SECTION("HTTP/1.0: a stream that ends is sent with its length")
   {
-    NotingServer server(runtime);
+    RecordingServer server(runtime);
     RawConnection caller(runtime, server.address);
     caller.Write("GET / HTTP/1.0\r\n\r\n");
     server.Send(server.Request(1), "half", false);
@@ -108,7 +108,7 @@
   }
 }
 
-TEST(HttpServer, RefusesWhatIsMalformedOrTooLargeWithAJsonError)
+TEST(HttpServer, RejectsMalformedOrOversizedRequestsWithAJsonError)
 {
   struct Case
   {
@@ -126,13 +126,13 @@
     { "headers over the limit",
       "GET / HTTP/1.1\r\nX: " + std::string(2000, 'x') + "\r\n\r\n",
       "431 " },
-    { "headers without end over the limit",
+    { "unterminated headers over the limit",
       "GET / HTTP/1.1\r\nX: " + std::string(2000, 'x'),
       "431 " },
     { "a body announced over the limit",
       "POST / HTTP/1.1\r\nContent-Length: 2001\r\n\r\n" + std::string(2001, 'x'),
       "413 " },
-    { "a body announced over the limit that waits for a go-ahead",
+    { "a body announced over the limit with Expect: 100-continue",
       "POST / HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2001\r\n\r\n",
       "413 " },
     { "chunks over the limit",
@@ -141,17 +141,17 @@
       "413 " },
   };
   IoRuntime runtime;
-  NotingServer server(runtime, [](HttpServerSettings& settings) {
+  RecordingServer server(runtime, [](HttpServerSettings& settings) {
     settings.maxHeaderBytes = 1000;
     settings.maxBodyBytes = 2000;
   });
-  for (const Case& one : cases) {
-    SECTION(one.name)
+  for (const Case& testCase : cases) {
+    SECTION(testCase.name)
     {
       RawConnection caller(runtime, server.address);
-      caller.Write(one.bytes);
+      caller.Write(testCase.bytes);
       const std::string& answer = caller.ReadToEnd();
-      EXPECT_EQ(answer.substr(0, 13), "HTTP/1.1 " + one.status);
+      EXPECT_EQ(answer.substr(0, 13), "HTTP/1.1 " + testCase.status);
       EXPECT_TRUE(Contains(answer, "application/json"));
       EXPECT_TRUE(Contains(answer, "\"outcome\":\"not-run\""));
       EXPECT_TRUE(Contains(answer, "Connection: close"));
@@ -160,7 +160,7 @@
   EXPECT_TRUE(server.requests.empty());
   EXPECT_EQ(server.server.Counters().rejected, cases.size());
 
-  SECTION("a body of exactly the limit is taken, after a go-ahead where one is asked for")
+  SECTION("a body of exactly the limit is accepted, after 100 Continue if requested")
   {
     RawConnection caller(runtime, server.address);
     caller.Write("POST / HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2000\r\n\r\n");
@@ -172,19 +172,19 @@
   }
 }
 
-// Symptom: engines work on for callers who gave up long ago.
-TEST(HttpServer, NoticesThatTheCallerLeftWhileItsAnswerIsPending)
+// Guards against engines that keep working for callers that have disconnected.
+TEST(HttpServer, DetectsADisconnectWhileTheResponseIsPending)
 {
   IoRuntime runtime;
-  NotingServer server(runtime);
+  RecordingServer server(runtime);
   SECTION("before the answer began")
   {
     RawConnection caller(runtime, server.address);
     caller.Write(kGet);
     const ExchangeId exchange = server.Request(1).exchange;
     caller.Close();
-    ASSERT_TRUE(server.WaitFor([&] { return server.gone.size() == 1; }));
-    EXPECT_EQ(server.gone[0], exchange);
+    ASSERT_TRUE(server.WaitFor([&] { return server.disconnected.size() == 1; }));
+    EXPECT_EQ(server.disconnected[0], exchange);
   }
   SECTION("in the middle of a stream")
   {
@@ -193,7 +193,7 @@
     server.Send(server.Request(2), "part", false);
     ASSERT_TRUE(caller.ReadUntil("part"));
     caller.Close();
-    ASSERT_TRUE(server.WaitFor([&] { return server.gone.size() == 2; }));
+    ASSERT_TRUE(server.WaitFor([&] { return server.disconnected.size() == 2; }));
   }
   SECTION("having sent its next request already")
   {
@@ -201,7 +201,7 @@
     caller.Write(std::string(kGet) + kGet);
     server.Request(3);
     caller.Close();
-    ASSERT_TRUE(server.WaitFor([&] { return server.gone.size() == 3; }));
+    ASSERT_TRUE(server.WaitFor([&] { return server.disconnected.size() == 3; }));
   }
   SECTION("an answer for it is dropped")
   {
@@ -214,7 +214,7 @@
 TEST(HttpServer, AnswersPipelinedRequestsInOrder)
 {
   IoRuntime runtime;
-  NotingServer server(runtime);
+  RecordingServer server(runtime);
   RawConnection caller(runtime, server.address);
   caller.Write(std::string(kGet) + kGet);
   server.Send(server.Request(1), "first", true);
@@ -223,32 +223,32 @@
   EXPECT_LT(caller.received.find("first"), caller.received.find("second"));
 }
 
-// Symptom: the process grows while a caller reads nothing of a long stream.
-TEST(HttpServer, CutsACallerWhoReadsTooSlowly)
+// Guards against unbounded memory use when a caller does not read a long stream.
+TEST(HttpServer, ClosesTheConnectionOfACallerThatReadsTooSlowly)
 {
   IoRuntime runtime;
-  NotingServer server(
+  RecordingServer server(
     runtime, [](HttpServerSettings& settings) { settings.maxQueuedAnswerBytes = 1024 * 1024; });
   RawConnection caller(runtime, server.address);
   caller.Write(kGet);
   const HttpRequestIn request = server.Request(1);
   std::size_t queued = 0;
-  for (int i = 0; i < 1000 && server.gone.empty(); ++i) {
+  for (int i = 0; i < 1000 && server.disconnected.empty(); ++i) {
     server.Send(request, std::string(100 * 1024, 'x'), false);
     queued = std::max(queued, server.server.QueuedBytes(request.exchange));
     runtime.SleepFor(std::chrono::milliseconds(1));
   }
-  ASSERT_EQ(server.gone.size(), 1U);
+  ASSERT_EQ(server.disconnected.size(), 1U);
   EXPECT_LE(queued, 1024U * 1024U);
   EXPECT_EQ(server.server.Counters().aborted, 1U);
   caller.ReadToEnd();
   EXPECT_NE(caller.received.substr(caller.received.size() - 5), "0\r\n\r\n");
 }
 
-TEST(HttpServer, AGracefulStopCutsNoRequestInFlight)
+TEST(HttpServer, AGracefulStopAbortsNoRequestInFlight)
 {
   IoRuntime runtime;
-  NotingServer server(runtime);
+  RecordingServer server(runtime);
   RawConnection idle(runtime, server.address);
   RawConnection busy(runtime, server.address);
   idle.Write(kGet);
@@ -267,26 +267,26 @@
     idle.ReadToEnd();
     EXPECT_FALSE(RawConnection(runtime, server.address).connected);
   }
-  SECTION("a request that was under way when the stop came is handed over still")
+  SECTION("a request that arrived before the stop is still served")
   {
     server.Send(server.Request(3), "served", true);
     ASSERT_TRUE(Contains(asking.ReadToEnd(), "served"));
     EXPECT_TRUE(Contains(asking.received, "Connection: close"));
   }
-  SECTION("the stream goes on to its end, and only then the server is drained")
+  SECTION("the server is drained only after the stream has ended")
   {
     EXPECT_FALSE(server.server.WaitDrained(std::chrono::milliseconds(20)));
     server.Send(request, "ended", true);
     ASSERT_TRUE(busy.ReadUntil("0\r\n\r\n"));
     busy.Close();
-    EXPECT_TRUE(server.server.WaitDrained(kPatience));
+    EXPECT_TRUE(server.server.WaitDrained(kTestTimeout));
   }
 }
 
 TEST(HttpServer, ClosesCallersWhoSendTooSlowly)
 {
   IoRuntime runtime;
-  NotingServer server(runtime, [](HttpServerSettings& settings) {
+  RecordingServer server(runtime, [](HttpServerSettings& settings) {
     settings.requestTimeout = std::chrono::milliseconds(50);
     settings.idleTimeout = std::chrono::milliseconds(50);
   });
@@ -298,12 +298,12 @@
   EXPECT_TRUE(server.requests.empty());
 }
 
-// Symptom: an answer with forged headers or a second, made-up answer behind it.
-// Cause: a target's header value that holds a line break.
-TEST(HttpServer, DropsHeadersThatWouldForgeOthers)
+// Guards against header injection and response splitting by a line break in a header value of a
+// target.
+TEST(HttpServer, DropsHeadersThatWouldInjectOthers)
 {
   IoRuntime runtime;
-  NotingServer server(runtime);
+  RecordingServer server(runtime);
   RawConnection caller(runtime, server.address);
   caller.Write(kGet);
   HttpAnswerOut part;
