--- a/include/gooseberrysail/entry/caller_stream.hpp
+++ b/include/gooseberrysail/entry/caller_stream.hpp
@@ -2,7 +2,7 @@
 
 #include "gooseberrysail/entry/caller_answer.hpp"
 #include "gooseberrysail/entry/entry_context.hpp"
-#include "gooseberrysail/entry/output_order.hpp"
+#include "gooseberrysail/entry/reassembled_output.hpp"
 
 namespace gooseberrysail::impl {
 
--- a/include/gooseberrysail/gateway/dispatcher.hpp
+++ b/include/gooseberrysail/gateway/dispatcher.hpp
@@ -3,8 +3,8 @@
 #include "gooseberrysail/gateway/event_splitter.hpp"
 #include "gooseberrysail/gateway/gateway_api.hpp"
 #include "gooseberrysail/gateway/retry_allowance.hpp"
-#include "gooseberrysail/gateway/target_board.hpp"
-#include "gooseberrysail/gateway/waiting_line.hpp"
+#include "gooseberrysail/gateway/target_selector.hpp"
+#include "gooseberrysail/gateway/wait_queue.hpp"
 #include "gooseberrysail/serving/route_index.hpp"
 
 #include <functional>
--- a/include/gooseberrysail/gateway/target_board.hpp
+++ b/include/gooseberrysail/gateway/target_selector.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "gooseberrysail/core/time.hpp"
-#include "gooseberrysail/gateway/pace_meter.hpp"
+#include "gooseberrysail/gateway/step_time_estimator.hpp"
 #include "gooseberrysail/serving/served_target.hpp"
 
 #include <cstdint>
--- a/src/admission/admission.cpp
+++ b/src/admission/admission.cpp
@@ -1,7 +1,7 @@
 #include "gooseberrysail/admission/admission.hpp"
 
 #include "admission/meter.hpp"
-#include "admission/return_schedule.hpp"
+#include "admission/retry_schedule.hpp"
 #include "admission/token_bucket.hpp"
 
 #include <algorithm>
@@ -43,7 +43,7 @@
   impl::RateMeter offered;
   std::uint64_t admitted = 0;
   std::uint64_t used = 0;
-  impl::ReturnSchedule returns;
+  impl::RetrySchedule returns;
 };
 
 struct EntryRow
@@ -54,7 +54,7 @@
   std::uint32_t runningAtOccupancy = 0;
   impl::Mean serviceSeconds;
   std::unordered_map<WorkspaceId, std::uint32_t> byWorkspace; ///< Running requests; no zero counts.
-  impl::ReturnSchedule returns;
+  impl::RetrySchedule returns;
 
   [[nodiscard]] double InFlight() const
   {
@@ -102,7 +102,7 @@
       static_cast<std::uint32_t>(std::lround(limits.maxConcurrent * row.share.concurrent));
   }
 
-  [[nodiscard]] impl::ReturnSchedule::Bounds Bounds(double least) const
+  [[nodiscard]] impl::RetrySchedule::Bounds Bounds(double least) const
   {
     return { std::max(least, Seconds(policy.minRetryAfter)),
              Seconds(policy.maxRetryAfter),
--- a/src/admission/return_schedule.hpp
+++ b/src/admission/retry_schedule.hpp
@@ -8,7 +8,7 @@
 /// \remarks With one common time all callers retry at once, most are refused again, and these
 /// bursts repeat for as long as the overload lasts. The times are spaced by the rate at which
 /// callers can be admitted.
-class ReturnSchedule
+class RetrySchedule
 {
 public:
   struct Bounds
--- a/src/entry/attempt_flow.cpp
+++ b/src/entry/attempt_flow.cpp
@@ -1,7 +1,7 @@
 #include "gooseberrysail/entry/attempt_flow.hpp"
 
 #include "gooseberrysail/entry/caller_stream.hpp"
-#include "gooseberrysail/entry/output_order.hpp"
+#include "gooseberrysail/entry/reassembled_output.hpp"
 #include "gooseberrysail/entry/request_end.hpp"
 
 #include <algorithm>
--- a/src/entry/output_order.cpp
+++ b/src/entry/reassembled_output.cpp
@@ -1,4 +1,4 @@
-#include "gooseberrysail/entry/output_order.hpp"
+#include "gooseberrysail/entry/reassembled_output.hpp"
 
 namespace gooseberrysail {
 
--- a/src/gateway/pace_meter.cpp
+++ b/src/gateway/step_time_estimator.cpp
@@ -1,4 +1,4 @@
-#include "gooseberrysail/gateway/pace_meter.hpp"
+#include "gooseberrysail/gateway/step_time_estimator.hpp"
 
 #include "gooseberrysail/core/smoothing.hpp"
 
--- a/src/gateway/target_board.cpp
+++ b/src/gateway/target_selector.cpp
@@ -1,4 +1,4 @@
-#include "gooseberrysail/gateway/target_board.hpp"
+#include "gooseberrysail/gateway/target_selector.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/gateway/waiting_line.cpp
+++ b/src/gateway/wait_queue.cpp
@@ -1,4 +1,4 @@
-#include "gooseberrysail/gateway/waiting_line.hpp"
+#include "gooseberrysail/gateway/wait_queue.hpp"
 
 #include "gooseberrysail/core/smoothing.hpp"
 
--- a/tests/soak/callers.cpp
+++ b/tests/soak/callers.cpp
@@ -1,7 +1,7 @@
 #include "soak/callers.hpp"
 
 #include "soak/replica.hpp"
-#include "support/kept_connection.hpp"
+#include "support/persistent_connection.hpp"
 
 #include <chrono>
 #include <random>
@@ -45,7 +45,7 @@
 {
   std::mt19937_64 random(seed);
   std::uint64_t sent = 0;
-  test::KeptConnection connection;
+  test::PersistentConnection connection;
   while (!m_stop) {
     const std::string id = "c" + std::to_string(number) + "-" + std::to_string(++sent);
     const bool isNonRepeatable =
--- a/tests/support/http_call.cpp
+++ b/tests/support/http_call.cpp
@@ -1,6 +1,6 @@
 #include "support/http_call.hpp"
 
-#include "support/kept_connection.hpp"
+#include "support/persistent_connection.hpp"
 
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/beast/core.hpp>
@@ -69,7 +69,7 @@
   return "";
 }
 
-struct KeptConnection::Impl
+struct PersistentConnection::Impl
 {
   boost::asio::io_context io;
   beast::tcp_stream stream{ io };
@@ -97,14 +97,14 @@
   }
 };
 
-KeptConnection::KeptConnection()
+PersistentConnection::PersistentConnection()
   : m_impl(std::make_unique<Impl>())
 {
 }
 
-KeptConnection::~KeptConnection() = default;
+PersistentConnection::~PersistentConnection() = default;
 
-HttpReply KeptConnection::Call(const HttpCall& call)
+HttpReply PersistentConnection::Call(const HttpCall& call)
 {
   HttpReply reply;
   auto& io = m_impl->io;
@@ -145,7 +145,7 @@
 
 HttpReply Call(const HttpCall& call)
 {
-  KeptConnection connection;
+  PersistentConnection connection;
   return connection.Call(call);
 }
 
--- a/tests/support/kept_connection.hpp
+++ b/tests/support/persistent_connection.hpp
@@ -7,13 +7,13 @@
 namespace gooseberrysail::test {
 
 /// \brief Makes calls over one keep-alive connection as long as it stays open.
-class KeptConnection
+class PersistentConnection
 {
 public:
-  KeptConnection();
-  ~KeptConnection();
-  KeptConnection(const KeptConnection&) = delete;
-  KeptConnection& operator=(const KeptConnection&) = delete;
+  PersistentConnection();
+  ~PersistentConnection();
+  PersistentConnection(const PersistentConnection&) = delete;
+  PersistentConnection& operator=(const PersistentConnection&) = delete;
 
   /// \brief Blocks until the response is complete, the timeout expires or the connection fails. A
   /// call to a different address opens a new connection. Calls are never retried.
--- a/tests/unit/pace_meter_test.cpp
+++ b/tests/unit/step_time_estimator_test.cpp
@@ -1,5 +1,5 @@
-#include "gooseberrysail/gateway/pace_meter.hpp"
-#include "gooseberrysail/gateway/target_board.hpp"
+#include "gooseberrysail/gateway/step_time_estimator.hpp"
+#include "gooseberrysail/gateway/target_selector.hpp"
 #include "support/section.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/unit/waiting_line_test.cpp
+++ b/tests/unit/wait_queue_test.cpp
@@ -1,4 +1,4 @@
-#include "gooseberrysail/gateway/waiting_line.hpp"
+#include "gooseberrysail/gateway/wait_queue.hpp"
 #include "support/section.hpp"
 
 #include <gmock/gmock.h>
