--- a/include/gooseberrysail/control/engine_groups.hpp
+++ b/include/gooseberrysail/control/engine_groups.hpp
@@ -76,7 +76,7 @@
   const ServingDocument& document;
   /// \brief This process has run long enough to receive a heartbeat of every target. Before that, a
   /// delayed heartbeat may be the only report of a target that has joined a group since.
-  bool hasHeardAll = false;
+  bool haveAllTargetsReported = false;
   bool hasTraffic = false; ///< Entries received requests; the store's load rate limit applies.
   const std::set<InstanceId>& answering; ///< Heads that recently answered an entry.
   const std::set<InstanceId>& failing;   ///< Heads that failed an entry and answered none since.
@@ -101,7 +101,7 @@
 
   /// \brief Time after its start by which a process has received a heartbeat of every target: two
   /// heartbeat intervals and a margin.
-  [[nodiscard]] Duration LearnTime() const noexcept { return heartbeat * 21 / 10; }
+  [[nodiscard]] Duration DiscoveryTime() const noexcept { return heartbeat * 21 / 10; }
 
   /// \brief Before traffic: when no new target appeared for this long, all targets are known.
   [[nodiscard]] Duration QuietTime() const noexcept { return heartbeat * 5 / 4; }
@@ -273,7 +273,9 @@
   /// again.
   [[nodiscard]] bool IsUnreachable(const Pass& pass, const Group& group) const;
   [[nodiscard]] bool LacksMember(const Pass& pass, const Group& group) const;
-  [[nodiscard]] bool IsOver(const TargetRow& row) const;
+  /// \brief The target's latest report names a group that was released, and does not make the
+  /// leader adopt it again.
+  [[nodiscard]] bool HasReleasedMembership(const TargetRow& row) const;
   /// \brief A head that is closed may still open because of an earlier order.
   [[nodiscard]] static bool MayOpenLate(TimePoint now, const Group& group);
   [[nodiscard]] bool IsHealthy(const Pass& pass, const Group& group) const;
--- a/include/gooseberrysail/control/serving_control.hpp
+++ b/include/gooseberrysail/control/serving_control.hpp
@@ -62,12 +62,12 @@
   void Respond(ControlContext& context, ExchangeId exchange, const OutsideAnswer& answer);
   [[nodiscard]] DocumentService::Respond Responder(ControlContext& context);
   [[nodiscard]] bool IsServiceKnown(const TargetAnnouncement& announcement) const;
-  void NoteChange(ControlContext& context, const InstanceId& instance);
-  void OnHeard(ControlContext& context, const wire::TargetHeardT& heard);
+  void ReportTargetChange(ControlContext& context, const InstanceId& instance);
+  void OnTargetReport(ControlContext& context, const wire::TargetHeardT& report);
   /// \brief Whether this process has run long enough to receive a heartbeat of every target.
-  [[nodiscard]] bool HasHeardAll(TimePoint now) const noexcept
+  [[nodiscard]] bool HaveAllTargetsReported(TimePoint now) const noexcept
   {
-    return now - m_startedAt >= m_learnTime;
+    return now - m_startedAt >= m_discoveryTime;
   }
   void ApplyStoredDocument(ControlContext& context);
   void ReconcileGroups(ControlContext& context);
@@ -87,7 +87,7 @@
   DocumentService m_documents;
   RefusedCalls m_refused;
   EngineGroups m_groups;
-  Duration m_learnTime; ///< From the process's start until every target has reported.
+  Duration m_discoveryTime; ///< From the process's start until every target has reported.
   ServingFeed m_feed;
   std::optional<ServingDocument> m_document; ///< Parsed from the committed document.
   std::uint64_t m_documentVersion = 0;       ///< Committed version last read.
--- a/include/gooseberrysail/control/slow_targets.hpp
+++ b/include/gooseberrysail/control/slow_targets.hpp
@@ -14,12 +14,12 @@
 public:
   /// \brief Pace from which a target counts as slow: one member at half speed halves the speed of
   /// its group.
-  static constexpr double kSlow = 2;
+  static constexpr double kSlowPace = 2;
   /// \brief Pace from which all answers of a target are late: the intervals between events of a
   /// full group, 33 to 55 ms, grow to the 200 to 300 ms that callers allow.
-  static constexpr double kUseless = 4;
+  static constexpr double kUnusablePace = 4;
   /// \brief Interval at which a slow target is probed; slow periods last some seconds.
-  static constexpr Duration kAskAgain = std::chrono::milliseconds(1500);
+  static constexpr Duration kSlowProbeInterval = std::chrono::milliseconds(1500);
 
   /// \brief Records a target's pace: the factor by which its work takes longer than usual.
   /// \returns Whether the target became slow or stopped being slow.
@@ -44,7 +44,7 @@
   struct Row
   {
     double pace = 1;
-    TimePoint askedAt{};
+    TimePoint probedAt{};
   };
 
   std::map<InstanceId, Row> m_rows;
--- a/include/gooseberrysail/control/target_verifier.hpp
+++ b/include/gooseberrysail/control/target_verifier.hpp
@@ -29,7 +29,7 @@
 
   /// \brief Minimum interval between two queries of a target. An answer takes some 10 ms, and a
   /// lost packet is retransmitted within 300 ms.
-  static constexpr Duration kAskAgain = std::chrono::milliseconds(500);
+  static constexpr Duration kMinQueryInterval = std::chrono::milliseconds(500);
 
   /// \brief Discards all answers; for the start of a new leader.
   void Clear();
@@ -54,10 +54,12 @@
     const std::function<bool(const TargetRow&)>& isUnconfirmed);
 
   /// \brief The target itself, not another at its address, answered a query sent at `askedAt`.
-  void OnIdentified(TimePoint askedAt, const TargetIncarnation& life);
+  void OnIdentified(TimePoint askedAt, const TargetIncarnation& incarnation);
 
   /// \brief A report requested at `askedAt` came from the target's address.
-  void OnReport(TimePoint askedAt, const TargetIncarnation& life, const TargetReport& report);
+  void OnReport(TimePoint askedAt,
+                const TargetIncarnation& incarnation,
+                const TargetReport& report);
 
   /// \brief The last answer from the target names the same group as its latest report in the table.
   [[nodiscard]] bool Confirms(const TargetRow& row) const;
@@ -69,7 +71,7 @@
                                  TimePoint since) const;
 
   /// \brief Another target answered at the address: this incarnation has ended.
-  void OnReplaced(const TargetIncarnation& life) { m_replaced.insert(life); }
+  void OnReplaced(const TargetIncarnation& incarnation) { m_replaced.insert(incarnation); }
 
   /// \brief The target's incarnation has certainly ended: another identity answered at its address
   /// after its last announcement.
@@ -93,14 +95,14 @@
   };
 
   /// \brief One kind of query: when each target was last asked, and its last answer.
-  struct Question
+  struct QueryRecords
   {
     std::map<InstanceId, TimePoint> askedAt;
     std::map<InstanceId, Answer> answers;
 
     /// \brief Null when this incarnation of the target has not answered yet.
     [[nodiscard]] const Answer* FindAnswer(const TargetRow& row) const;
-    [[nodiscard]] bool MayAsk(TimePoint now, const TargetRow& row) const;
+    [[nodiscard]] bool IsQueryDue(TimePoint now, const TargetRow& row) const;
     void Forget(const TargetTable& targets);
   };
 
@@ -109,12 +111,12 @@
   void Forget(const TargetTable& targets);
   std::vector<InstanceId> TakeDue(TimePoint now,
                                   const TargetTable& targets,
-                                  Question& question,
-                                  const std::function<bool(const TargetRow&)>& mustAsk) const;
+                                  QueryRecords& queries,
+                                  const std::function<bool(const TargetRow&)>& needsQuery) const;
   [[nodiscard]] const TargetRow* FindReplacement(const Rows& rows, const TargetRow& row) const;
 
-  Question m_identities;
-  Question m_reports;
+  QueryRecords m_identityQueries;
+  QueryRecords m_reportQueries;
   std::set<TargetIncarnation> m_replaced;
   std::set<InstanceId> m_contested;
 };
--- a/src/control/engine_groups.cpp
+++ b/src/control/engine_groups.cpp
@@ -311,7 +311,7 @@
   }
   ProbeStragglers(pass, group);
   if (ShouldLeaveStragglers(pass, group)) {
-    group.cut = PaceOf(group) >= SlowTargets::kUseless;
+    group.cut = PaceOf(group) >= SlowTargets::kUnusablePace;
     End(pass, group, "a member is slow");
     return;
   }
@@ -324,8 +324,8 @@
   }
 }
 
-// A target that died recently still seems alive by its last heartbeat, and a group formed with it
-// would wait for its join in vain. An unanswered probe reveals it earlier.
+// The last heartbeat of a target that ended recently is still valid, and a group formed with the
+// target would never complete. An unanswered probe shows the failure earlier.
 bool EngineGroups::IsSilent(const Pass& pass, const TargetRow& row) const
 {
   const auto unanswered = m_unanswered.find(row.latest.instance);
@@ -372,7 +372,7 @@
 // A group that is about to be lost must not be chosen to release its targets.
 bool EngineGroups::IsHealthy(const Pass& pass, const Group& group) const
 {
-  return !HasFailedMember(pass, group) && PaceOf(group) < SlowTargets::kSlow &&
+  return !HasFailedMember(pass, group) && PaceOf(group) < SlowTargets::kSlowPace &&
          std::ranges::all_of(group.members, [&](const InstanceId& member) {
            return IsConfirmed(pass, *pass.Row(member));
          });
@@ -395,8 +395,9 @@
 bool EngineGroups::HasRestarted(const Pass& pass, const Group& group, const InstanceId& member)
 {
   const TargetRow* row = pass.Row(member);
-  const auto life = group.incarnations.find(member);
-  return row != nullptr && life != group.incarnations.end() && row->latest.born > life->second;
+  const auto assigned = group.incarnations.find(member);
+  return row != nullptr && assigned != group.incarnations.end() &&
+         row->latest.born > assigned->second;
 }
 
 void EngineGroups::OnOrderOutcome(TimePoint now, const GroupOrder& order, OrderOutcome outcome)
--- a/src/control/engine_groups_ending.cpp
+++ b/src/control/engine_groups_ending.cpp
@@ -73,10 +73,10 @@
   }
 }
 
-// An order to leave proves nothing: a group that is cut off from control as a whole receives none
-// of the orders and continues to serve, so that its members must not be assigned to other groups
-// after the time in which a head without a member breaks. A member must have left, joined another
-// group or be dead.
+// An order to leave does not show that the member left: a group that is cut off from control as a
+// whole receives none of the orders and continues to serve, so that its members must not be
+// assigned to other groups after the time in which a head without a member breaks. A member must
+// have left, joined another group or be dead.
 bool EngineGroups::LacksMember(const Pass& pass, const Group& group) const
 {
   const auto isLost = [&](const InstanceId& member) {
@@ -114,7 +114,7 @@
   const TargetRow* head = pass.Row(group.members.front());
   const bool isInDoubt = head != nullptr && !Reports(head, group.name, group.epoch);
   if (!isInDoubt || pass.input.now - group.since < m_reportLag ||
-      pass.input.now - group.headProbedAt < TargetVerifier::kAskAgain) {
+      pass.input.now - group.headProbedAt < TargetVerifier::kMinQueryInterval) {
     return;
   }
   group.headProbedAt = pass.input.now;
--- a/src/control/engine_groups_learning.cpp
+++ b/src/control/engine_groups_learning.cpp
@@ -22,7 +22,7 @@
     const GroupMembership& membership = row.latest.membership;
     const GroupKey key{ membership.group, membership.epoch };
     const bool isStandby = membership.group.starts_with(impl::kStandbyPrefix);
-    if (membership.group.empty() || isStandby || IsOver(row)) {
+    if (membership.group.empty() || isStandby || HasReleasedMembership(row)) {
       continue;
     }
     const auto [found, fresh] = m_groups.try_emplace(key);
@@ -48,7 +48,7 @@
 
 // An unreachable group may still serve; it is adopted again with the first report of it. A head
 // that reports itself open after it was released is adopted too, so that it is closed again.
-bool EngineGroups::IsOver(const TargetRow& row) const
+bool EngineGroups::HasReleasedMembership(const TargetRow& row) const
 {
   const GroupMembership& membership = row.latest.membership;
   const auto released = m_released.find({ membership.group, membership.epoch });
@@ -83,7 +83,7 @@
   const TargetRow* head = pass.Row(group.members.front());
   const bool isHeard = Reports(head, group.name, group.epoch);
   if ((!isHeard || !IsConfirmed(pass, *head)) &&
-      pass.input.now - *m_leaderSince < m_settings.LearnTime()) {
+      pass.input.now - *m_leaderSince < m_settings.DiscoveryTime()) {
     return; // An earlier leader may have sent orders whose effect the head has not reported yet.
   }
   const bool isOpen = isHeard && head->latest.membership.state == MemberState::Open;
@@ -169,15 +169,15 @@
 // answer to a probe does not contain the identity of the sender.
 void EngineGroups::RecordIdentity(const GroupOrder& order, OrderOutcome outcome)
 {
-  const TargetIncarnation life{ order.target, order.born };
+  const TargetIncarnation incarnation{ order.target, order.born };
   if (outcome == OrderOutcome::kReplaced) {
-    m_verifier.OnReplaced(life);
+    m_verifier.OnReplaced(incarnation);
     return;
   }
   const bool isAnswer = outcome == OrderOutcome::kBegun || outcome == OrderOutcome::kDone ||
                         outcome == OrderOutcome::kRefused;
   if (isAnswer && order.kind != GroupOrderKind::kProbe) {
-    m_verifier.OnIdentified(order.givenAt, life);
+    m_verifier.OnIdentified(order.givenAt, incarnation);
   }
 }
 
--- a/src/control/engine_groups_planning.cpp
+++ b/src/control/engine_groups_planning.cpp
@@ -108,9 +108,9 @@
     m_newTargetAt = pass.input.now;
   }
   m_knownTargets = known;
-  const bool learnt = pass.input.now - *m_leaderSince >= m_settings.LearnTime();
+  const bool isDiscoveryOver = pass.input.now - *m_leaderSince >= m_settings.DiscoveryTime();
   const bool isQuiet = pass.input.now - m_newTargetAt >= m_settings.QuietTime();
-  return pass.input.hasTraffic ? pass.input.hasHeardAll : learnt && isQuiet;
+  return pass.input.hasTraffic ? pass.input.haveAllTargetsReported : isDiscoveryOver && isQuiet;
 }
 
 void EngineGroups::FormGroups(Pass& pass, const ServiceDefinition& service)
@@ -346,7 +346,7 @@
 // groups would not be replaced.
 bool EngineGroups::IsCounted(const Pass& pass, const Group& group) const
 {
-  if (group.phase == Phase::kOpen && PaceOf(group) >= SlowTargets::kSlow) {
+  if (group.phase == Phase::kOpen && PaceOf(group) >= SlowTargets::kSlowPace) {
     return false; // It contributes little; another group may take over its callers.
   }
   if (group.phase != Phase::kAdopted) {
--- a/src/control/engine_groups_stragglers.cpp
+++ b/src/control/engine_groups_stragglers.cpp
@@ -104,10 +104,10 @@
 bool EngineGroups::ShouldLeaveStragglers(const Pass& pass, const Group& group)
 {
   const double pace = PaceOf(group);
-  if (pace < SlowTargets::kSlow) {
+  if (pace < SlowTargets::kSlowPace) {
     return false;
   }
-  if (pace >= SlowTargets::kUseless) {
+  if (pace >= SlowTargets::kUnusablePace) {
     return true;
   }
   const GroupModel* model = ModelOf(pass, group);
--- a/src/control/head_shares.cpp
+++ b/src/control/head_shares.cpp
@@ -60,7 +60,7 @@
   }
 
   /// Allocates heads of the entries' own domains. Where a domain has less capacity than its entries
-  /// want, each gets its part of the available capacity.
+  /// need, each gets its part of the available capacity.
   void AllocateLocal()
   {
     std::map<FailureDomainId, double> wanted;
--- a/src/control/serving_control.cpp
+++ b/src/control/serving_control.cpp
@@ -50,7 +50,7 @@
 ServingControl::ServingControl(OutsideApi api, EngineGroupsSettings groups)
   : m_api(std::move(api))
   , m_groups(groups)
-  , m_learnTime(groups.LearnTime())
+  , m_discoveryTime(groups.DiscoveryTime())
 {
 }
 
@@ -102,7 +102,7 @@
     m_relay.Enqueue(context, instance, stateChanged);
   }
   if (stateChanged) {
-    NoteChange(context, instance);
+    ReportTargetChange(context, instance);
   }
   Respond(context, exchange, {});
 }
@@ -128,7 +128,7 @@
     return;
   }
   if (m_targets.MarkLeft(context.now, call.instance) == TargetTable::Change::kState) {
-    NoteChange(context, call.instance);
+    ReportTargetChange(context, call.instance);
   }
   m_relay.Enqueue(context, call.instance, true);
   Respond(context, exchange, {});
@@ -170,7 +170,7 @@
   };
 }
 
-void ServingControl::NoteChange(ControlContext& context, const InstanceId& instance)
+void ServingControl::ReportTargetChange(ControlContext& context, const InstanceId& instance)
 {
   m_nextReconcile = context.now;
   const TargetAnnouncement& target = m_targets.Find(instance)->latest;
@@ -189,12 +189,12 @@
                 { "staged", Join(target.stagedModels, ",") } }));
 }
 
-void ServingControl::OnHeard(ControlContext& context, const wire::TargetHeardT& heard)
+void ServingControl::OnTargetReport(ControlContext& context, const wire::TargetHeardT& report)
 {
   const TargetTable::Change change =
-    heard.left
-      ? m_targets.MarkLeft(context.now, InstanceId(heard.instance), Incarnation(heard.born))
-      : m_targets.Update(context.now, FromWire(heard));
+    report.left
+      ? m_targets.MarkLeft(context.now, InstanceId(report.instance), Incarnation(report.born))
+      : m_targets.Update(context.now, FromWire(report));
   if (change == TargetTable::Change::kState) {
     m_nextReconcile = context.now;
   }
@@ -206,7 +206,7 @@
 {
   if (const wire::TargetsHeardT* targets = body.AsTargetsHeard()) {
     for (const auto& heard : targets->heard) {
-      OnHeard(context, *heard);
+      OnTargetReport(context, *heard);
     }
     return;
   }
@@ -281,7 +281,7 @@
     ReconcileGroups(context);
     m_feed.SetTargets(ListTargets(context));
   }
-  m_feed.SetTargetsComplete(HasHeardAll(context.now));
+  m_feed.SetTargetsComplete(HaveAllTargetsReported(context.now));
   m_feed.Tick(context);
 }
 
@@ -324,7 +324,7 @@
                   context.replication.term,
                   m_targets,
                   *m_document,
-                  HasHeardAll(context.now),
+                  HaveAllTargetsReported(context.now),
                   m_feed.HasTraffic(),
                   answering,
                   failing,
--- a/src/control/slow_targets.cpp
+++ b/src/control/slow_targets.cpp
@@ -4,7 +4,7 @@
 
 bool SlowTargets::Record(TimePoint now, const InstanceId& target, double pace)
 {
-  if (pace < kSlow) {
+  if (pace < kSlowPace) {
     return m_rows.erase(target) != 0;
   }
   const auto [row, fresh] = m_rows.try_emplace(target);
@@ -22,8 +22,8 @@
 {
   std::vector<InstanceId> due;
   for (auto& [target, row] : m_rows) {
-    if (now - row.askedAt >= kAskAgain) {
-      row.askedAt = now;
+    if (now - row.probedAt >= kSlowProbeInterval) {
+      row.probedAt = now;
       due.push_back(target);
     }
   }
--- a/src/control/target_verifier.cpp
+++ b/src/control/target_verifier.cpp
@@ -17,18 +17,18 @@
 
 void TargetVerifier::Clear()
 {
-  m_identities = {};
-  m_reports = {};
+  m_identityQueries = {};
+  m_reportQueries = {};
   m_replaced.clear();
   m_contested.clear();
 }
 
 void TargetVerifier::Forget(const TargetTable& targets)
 {
-  m_identities.Forget(targets);
-  m_reports.Forget(targets);
-  std::erase_if(m_replaced, [&](const TargetIncarnation& life) {
-    return targets.Find(life.instance) == nullptr;
+  m_identityQueries.Forget(targets);
+  m_reportQueries.Forget(targets);
+  std::erase_if(m_replaced, [&](const TargetIncarnation& incarnation) {
+    return targets.Find(incarnation.instance) == nullptr;
   });
 }
 
@@ -68,7 +68,7 @@
 const TargetRow* TargetVerifier::FindReplacement(const Rows& rows, const TargetRow& row) const
 {
   const auto replacement = std::ranges::find_if(rows, [&](const TargetRow* other) {
-    const Answer* answer = m_identities.FindAnswer(*other);
+    const Answer* answer = m_identityQueries.FindAnswer(*other);
     return other != &row && answer != nullptr && answer->askedAt > row.lastSeenAt;
   });
   return replacement == rows.end() ? nullptr : *replacement;
@@ -79,7 +79,7 @@
   const TargetTable& targets,
   const std::function<bool(const TargetRow&)>& isEngine)
 {
-  return TakeDue(now, targets, m_identities, [&](const TargetRow& row) {
+  return TakeDue(now, targets, m_identityQueries, [&](const TargetRow& row) {
     return IsContested(row.latest.instance) && isEngine(row);
   });
 }
@@ -89,41 +89,41 @@
   const TargetTable& targets,
   const std::function<bool(const TargetRow&)>& isUnconfirmed)
 {
-  return TakeDue(now, targets, m_reports, isUnconfirmed);
+  return TakeDue(now, targets, m_reportQueries, isUnconfirmed);
 }
 
 std::vector<InstanceId> TargetVerifier::TakeDue(
   TimePoint now,
   const TargetTable& targets,
-  Question& question,
-  const std::function<bool(const TargetRow&)>& mustAsk) const
+  QueryRecords& queries,
+  const std::function<bool(const TargetRow&)>& needsQuery) const
 {
   std::vector<InstanceId> due;
   for (const auto& [instance, row] : targets.Rows()) {
     const bool isAddressable = !row.latest.address.empty() && !row.latest.left && !IsReplaced(row);
-    if (isAddressable && question.MayAsk(now, row) && mustAsk(row)) {
-      question.askedAt[instance] = now;
+    if (isAddressable && queries.IsQueryDue(now, row) && needsQuery(row)) {
+      queries.askedAt[instance] = now;
       due.push_back(instance);
     }
   }
   return due;
 }
 
-void TargetVerifier::OnIdentified(TimePoint askedAt, const TargetIncarnation& life)
+void TargetVerifier::OnIdentified(TimePoint askedAt, const TargetIncarnation& incarnation)
 {
-  m_identities.answers[life.instance] = { life.born, askedAt, {} };
+  m_identityQueries.answers[incarnation.instance] = { incarnation.born, askedAt, {} };
 }
 
 void TargetVerifier::OnReport(TimePoint askedAt,
-                              const TargetIncarnation& life,
+                              const TargetIncarnation& incarnation,
                               const TargetReport& report)
 {
-  m_reports.answers[life.instance] = { life.born, askedAt, report.membership };
+  m_reportQueries.answers[incarnation.instance] = { incarnation.born, askedAt, report.membership };
 }
 
 bool TargetVerifier::Confirms(const TargetRow& row) const
 {
-  const Answer* answer = m_reports.FindAnswer(row);
+  const Answer* answer = m_reportQueries.FindAnswer(row);
   return answer != nullptr && answer->membership && answer->membership->IsOf(row.latest.membership);
 }
 
@@ -131,12 +131,12 @@
                                  const GroupMembership& membership,
                                  TimePoint since) const
 {
-  const Answer* answer = m_reports.FindAnswer(row);
+  const Answer* answer = m_reportQueries.FindAnswer(row);
   return answer != nullptr && answer->askedAt >= since && answer->membership &&
          !answer->membership->IsOf(membership);
 }
 
-const TargetVerifier::Answer* TargetVerifier::Question::FindAnswer(const TargetRow& row) const
+const TargetVerifier::Answer* TargetVerifier::QueryRecords::FindAnswer(const TargetRow& row) const
 {
   const auto answer = answers.find(row.latest.instance);
   const bool isOfThisLife = answer != answers.end() && answer->second.born == row.latest.born;
@@ -145,7 +145,7 @@
 
 // A target that did not answer is queried again only after another announcement. A target that is
 // cut off would otherwise be queried in vain for as long as it is unreachable.
-bool TargetVerifier::Question::MayAsk(TimePoint now, const TargetRow& row) const
+bool TargetVerifier::QueryRecords::IsQueryDue(TimePoint now, const TargetRow& row) const
 {
   const auto asked = askedAt.find(row.latest.instance);
   if (asked == askedAt.end()) {
@@ -153,10 +153,11 @@
   }
   const Answer* answer = FindAnswer(row);
   const bool isReachable = answer != nullptr && answer->askedAt >= asked->second;
-  return now - asked->second >= kAskAgain && (isReachable || row.lastSeenAt > asked->second);
+  return now - asked->second >= kMinQueryInterval &&
+         (isReachable || row.lastSeenAt > asked->second);
 }
 
-void TargetVerifier::Question::Forget(const TargetTable& targets)
+void TargetVerifier::QueryRecords::Forget(const TargetTable& targets)
 {
   const auto isGone = [&](const auto& row) { return targets.Find(row.first) == nullptr; };
   std::erase_if(askedAt, isGone);
