--- a/include/gooseberrysail/admission/policy.hpp
+++ b/include/gooseberrysail/admission/policy.hpp
@@ -4,7 +4,8 @@
 
 namespace gooseberrysail {
 
-/// \brief Weights and limits of an Admission; the defaults were determined with bench/routing.cpp.
+/// \brief Weights and limits of an Admission.
+/// \remarks bench/routing.cpp compares the defaults with common baselines.
 struct AdmissionPolicy
 {
   /// Longest wait for a slot, as a fraction of the mean service time; a longer one only delays
--- a/include/gooseberrysail/agent/heartbeats.hpp
+++ b/include/gooseberrysail/agent/heartbeats.hpp
@@ -11,7 +11,7 @@
 
 namespace gooseberrysail {
 
-/// \brief What the head knows about one member.
+/// \brief State of one member as recorded by the head.
 struct MemberHeartbeat
 {
   VmId vm;
--- a/include/gooseberrysail/control/target_relay.hpp
+++ b/include/gooseberrysail/control/target_relay.hpp
@@ -9,7 +9,7 @@
 namespace gooseberrysail {
 
 /// \brief Forwards target announcements that this process received to the other control processes,
-/// so that a new leader knows the targets immediately.
+/// so that a new leader has their state immediately.
 /// \remarks The queue of a process holds target ids, so that it is bounded by the number of
 /// targets; a frame carries the state of each target at the time when the frame is built.
 class TargetRelay
--- a/include/gooseberrysail/routing/policy.hpp
+++ b/include/gooseberrysail/routing/policy.hpp
@@ -7,7 +7,8 @@
 
 namespace gooseberrysail {
 
-/// \brief Weights and limits of a Router; the defaults were determined with bench/routing.cpp.
+/// \brief Weights and limits of a Router.
+/// \remarks bench/routing.cpp compares the defaults with common baselines.
 /// \code
 /// RouterPolicy policy;
 /// policy.ejection.ratio = 4; // Tolerate slower peers.
--- a/src/admission/admission.cpp
+++ b/src/admission/admission.cpp
@@ -43,7 +43,7 @@
   impl::RateMeter offered;
   std::uint64_t admitted = 0;
   std::uint64_t used = 0;
-  impl::RetrySchedule returns;
+  impl::RetrySchedule retrySchedule;
 };
 
 struct EntryRow
@@ -54,7 +54,7 @@
   std::uint32_t runningAtOccupancy = 0;
   impl::Mean serviceSeconds;
   std::unordered_map<WorkspaceId, std::uint32_t> byWorkspace; ///< Running requests; no zero counts.
-  impl::RetrySchedule returns;
+  impl::RetrySchedule retrySchedule;
 
   [[nodiscard]] double InFlight() const
   {
@@ -194,13 +194,14 @@
     const double byTokens = row.tokens.Rate() / std::max(expectedTokens, 1.0);
     const double rate = requestWait >= tokenWait ? row.requests.Rate() : byTokens;
     return { RefusalReason::kWorkspaceRate,
-             row.returns.Next(now, rate, Bounds(std::max(requestWait, tokenWait))) };
+             row.retrySchedule.Next(now, rate, Bounds(std::max(requestWait, tokenWait))) };
   }
   if (row.limits.maxConcurrent > 0 && row.running >= row.maxConcurrent) {
     const double service =
       row.serviceSeconds.Known() ? row.serviceSeconds.Value() : kInitialServiceSeconds;
     const double ends = std::max<double>(row.running, 1) / std::max(service, 1e-3);
-    return { RefusalReason::kWorkspaceConcurrency, row.returns.Next(now, ends, Bounds(1 / ends)) };
+    return { RefusalReason::kWorkspaceConcurrency,
+             row.retrySchedule.Next(now, ends, Bounds(1 / ends)) };
   }
   return {};
 }
@@ -247,7 +248,7 @@
     return {};
   }
   const double rate = entry.OwnDrainRate() * policy.retryRateFraction;
-  return { RefusalReason::kOverload, entry.returns.Next(now, rate, Bounds(wait - allowed)) };
+  return { RefusalReason::kOverload, entry.retrySchedule.Next(now, rate, Bounds(wait - allowed)) };
 }
 
 AdmissionDecision Admission::Decide(TimePoint now, const AdmissionQuery& query)
@@ -280,7 +281,7 @@
 {
   EntryRow& entry = m_impl->entries[entryName];
   const double meanEndInterval = 1 / entry.OwnDrainRate();
-  return entry.returns.Next(
+  return entry.retrySchedule.Next(
     now, entry.OwnDrainRate() * m_impl->policy.retryRateFraction, m_impl->Bounds(meanEndInterval));
 }
 
--- a/src/control/claim_service.cpp
+++ b/src/control/claim_service.cpp
@@ -171,9 +171,9 @@
   std::erase_if(m_waitingOutcomes, [&](const WaitingOutcome& waiting) {
     const ClaimRow* row =
       context.state.GetClaims().Find(ClaimKey{ waiting.ack.workspace, waiting.ack.key });
-    // Only a confirmed leader knows that the key was released or belongs to another request. If a
-    // deposed leader acknowledged the outcome, the entry would stop sending it, and the claim would
-    // stay in the running state.
+    // Only the state of a confirmed leader shows that the key was released or belongs to another
+    // request. If a deposed leader acknowledged the outcome, the entry would stop sending it, and
+    // the claim would stay in the running state.
     const bool holds = row != nullptr && row->holder.Get() == waiting.ack.request;
     const bool settled = holds ? row->finished : IsConfirmed(context, waiting.ticket);
     if (settled) {
--- a/src/control/engine_groups.cpp
+++ b/src/control/engine_groups.cpp
@@ -22,7 +22,7 @@
 /// effect is repeated after this.
 constexpr Duration kOrderRetry = 1500ms;
 /// Timeout of the gathering phase. Streams last some 2 s and an ending group accepts no new ones,
-/// but a group whose head died meanwhile would block the other members.
+/// but a group whose head failed meanwhile would block the other members.
 constexpr Duration kGatherTimeout = 4s;
 /// Time allowed for joining in addition to the load.
 constexpr Duration kJoinSlack = 10s;
@@ -413,7 +413,7 @@
     m_unanswered[order.target] = now;
   }
   if (!m_leaderSince || order.givenAt < *m_leaderSince) {
-    return; // Sent in an earlier term: this term's knowledge of the target is newer.
+    return; // Sent in an earlier term: the state recorded in this term is newer.
   }
   if (order.kind == GroupOrderKind::kStage) {
     RecordLoadOutcome(now, order, outcome);
--- a/src/control/engine_groups_learning.cpp
+++ b/src/control/engine_groups_learning.cpp
@@ -76,7 +76,7 @@
 void EngineGroups::AdvanceAdopted(Pass& pass, Group& group)
 {
   if (HasSuccessor(group)) {
-    // Its members are in the next epoch; callers of this head would wait in vain.
+    // Its members are in the next epoch, so that requests to this head would not complete.
     End(pass, group, "it continued with another head");
     return;
   }
@@ -107,7 +107,7 @@
 }
 
 // A restarted target has neither the weights that its former incarnation was ordered to load nor
-// its pace, and answers that the former incarnation owed never arrive.
+// its pace, and orders to the former incarnation are never answered.
 void EngineGroups::ForgetFormerIncarnations(const Pass& pass)
 {
   for (const auto& [instance, row] : pass.input.targets.Rows()) {
--- a/src/control/engine_groups_planning.cpp
+++ b/src/control/engine_groups_planning.cpp
@@ -342,12 +342,12 @@
   return needs;
 }
 
-// A new leader may find groups whose heads died together with the former leader. Counted, such
-// groups would not be replaced.
+// A new leader may find groups whose heads failed together with the former leader. If such groups
+// were counted, they would not be replaced.
 bool EngineGroups::IsCounted(const Pass& pass, const Group& group) const
 {
   if (group.phase == Phase::kOpen && PaceOf(group) >= SlowTargets::kSlowPace) {
-    return false; // It contributes little; another group may take over its callers.
+    return false; // It adds little capacity; another group may be formed for its callers.
   }
   if (group.phase != Phase::kAdopted) {
     return group.phase != Phase::kEnding;
--- a/src/control/serving_control.cpp
+++ b/src/control/serving_control.cpp
@@ -83,8 +83,9 @@
   }
 }
 
-// After a positive response a leaving target expects to receive no more work soon. Only a process
-// that knows a leader can get the announcement to the entries.
+// A positive response to a leaving target means that it will soon receive no more work. Only the
+// leader sends the state of targets to the entries, so that a process that has recorded no leader
+// refuses announcements.
 void ServingControl::Handle(ControlContext& context, ExchangeId exchange, const AnnounceCall& call)
 {
   if (!context.ready && context.replication.leaderHint.IsNone()) {
@@ -272,7 +273,7 @@
     return;
   }
   m_documents.Tick(context, Responder(context));
-  // A leader that was deposed without knowing it must neither send orders nor state to entries.
+  // A deposed leader that has not detected it yet must send neither orders nor state to entries.
   if (!context.HasFreshQuorum()) {
     return;
   }
@@ -405,8 +406,8 @@
 }
 
 // Engines that lead no group take no requests, and they are the majority of the targets: with all
-// of them entries would receive six rows for each one that they use. Recent heads are included, so
-// that entries learn what became of their work in progress there.
+// of them entries would receive six rows for each one that they use. Recent heads are included,
+// because entries may have requests in progress there.
 bool ServingControl::TakesRequests(const TargetAnnouncement& target) const
 {
   const bool hasEngine = m_document && FindEngine(*m_document, target.service) != nullptr;
--- a/src/control/serving_feed.cpp
+++ b/src/control/serving_feed.cpp
@@ -147,10 +147,10 @@
   }
 }
 
-// The first shares are sent once all targets and entries are known: entries may use heads that this
-// leader does not know yet, and shares without these would stop their use. Later, shares are
-// updated at once when heads change, since a head in no entry's share gets little work, and at an
-// interval as demand changes.
+// The first shares are sent once all targets have reported and the time for discovering entries has
+// passed. Entries may use heads that this leader has not recorded yet, and would stop using them if
+// the shares did not contain them. Later, shares are updated at once when heads change, since a
+// head in no entry's share gets little work, and at an interval as demand changes.
 void ServingFeed::UpdateHeadShares(TimePoint now, const std::map<std::string, ModelDemand>& demand)
 {
   const bool isDue = !m_areSharesCurrent || now >= m_nextShareUpdate;
--- a/src/control/target_verifier.cpp
+++ b/src/control/target_verifier.cpp
@@ -143,8 +143,8 @@
   return isOfThisLife ? &answer->second : nullptr;
 }
 
-// A target that did not answer is queried again only after another announcement. A target that is
-// cut off would otherwise be queried in vain for as long as it is unreachable.
+// A target that did not answer is queried again only after another announcement. Otherwise a
+// target that is cut off would be queried without an answer for as long as it is unreachable.
 bool TargetVerifier::QueryRecords::IsQueryDue(TimePoint now, const TargetRow& row) const
 {
   const auto asked = askedAt.find(row.latest.instance);
--- a/src/gateway/target_selector.cpp
+++ b/src/gateway/target_selector.cpp
@@ -17,8 +17,7 @@
 constexpr std::uint32_t kMaxDoublings = 4;
 /// The entries' limits at a head add up to this many times its slots. Arrivals vary between the
 /// entries, so that they do not all use their limit at the same time; about an eighth more than the
-/// slots keeps a head full. Means of 60 test days on two sites with 0.88, 1.0, 1.12 and 1.2:
-/// 0.542, 0.560, 0.576 and 0.565 of the value owed.
+/// slots keeps a head full. With 0.88, 1.0 or 1.2 the completed requests have less value in total.
 constexpr double kHeadFill = 1.12;
 constexpr std::uint32_t kMinCapacity = 2;       ///< Per head while none is assigned to this entry.
 constexpr std::uint32_t kMinSharedCapacity = 1; ///< Per head that is assigned to this entry.
@@ -269,10 +268,10 @@
   return usable;
 }
 
-// A single lost answer says little about a head that continues with dozens of others. When avoided
-// heads got no requests at all, the few heads of a model refused 3% to 6% of all callers on days
-// with lost answers although they had capacity. So an avoided head is used when no other has
-// capacity.
+// A single lost answer is weak evidence against a head that continues with dozens of others. If
+// avoided heads got no requests at all, 3% to 6% of all callers would be refused while answers are
+// lost, although the few heads of their model have capacity. So an avoided head is used when no
+// other has capacity.
 bool TargetSelector::IsAvoided(TimePoint now, const Row& row)
 {
   return now < row.avoidUntil;
--- a/src/gateway/wait_queue.cpp
+++ b/src/gateway/wait_queue.cpp
@@ -6,10 +6,6 @@
 
 namespace gooseberrysail {
 
-// Means of 20 test days with faults at each of three sites, without and with the queue:
-// 0.118 and 0.112, 0.076 and 0.069, 0.074 and 0.071 of the requests were refused; 0.345 and 0.350,
-// 0.566 and 0.586, 0.569 and 0.566 of the value owed was earned.
-
 namespace {
 
 /// Time constant of the count of freed slots. A model of three groups frees about 20 slots at one
